--- a/Makefile
+++ b/Makefile
@@ -21,6 +21,7 @@
 
 lint: $(TOOLS)/pytest
 	$(TOOLS)/ruff check .
+	$(TOOLS)/ruff format --check .
 	$(TOOLS)/mypy
 
 run: build
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -42,8 +42,9 @@
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
         self.rig = rig = Rig(exchanges=CELLS)
-        desk = ModuleDesk(RULES, seed, rig.loop.now, lambda ms, token: rig.loop.after(
-            ms, lambda: rig.board.ring(token)))
+        desk = ModuleDesk(
+            RULES, seed, rig.loop.now, lambda ms, token: rig.loop.after(ms, lambda: rig.board.ring(token))
+        )
         rig.board.desk = desk
         self.module = desk.controller
         self.callers: list[BinaryCaller] = []
@@ -60,8 +61,9 @@
         """The list of exchanges, as the name server would tell it."""
         entries = [Exchange(name, cell, State.READY, "z") for cell, name in enumerate(self.names, 1)]
         self.rig.board.listed(entries)
-        self.rig.far.listed({name: stand_in.address for name, stand_in
-                             in zip(self.names, self.rig.stand_ins, strict=True)})
+        self.rig.far.listed(
+            {name: stand_in.address for name, stand_in in zip(self.names, self.rig.stand_ins, strict=True)}
+        )
         for stand_in in self.rig.stand_ins:
             stand_in.answering = self.answer
 
@@ -87,8 +89,13 @@
         for _ in range(BATCH):
             self.serial += 1
             caller = chance.choice(self.callers)
-            caller.set_up(self.serial, to=chance.randint(1, CELLS), wait=3000,
-                          kind=chance.choice(("plain", "dear")), called=f"n{self.serial % 5000}")
+            caller.set_up(
+                self.serial,
+                to=chance.randint(1, CELLS),
+                wait=3000,
+                kind=chance.choice(("plain", "dear")),
+                called=f"n{self.serial % 5000}",
+            )
         for _ in range(TURNS):
             rig.clock.ms += STEP_MS / TURNS
             rig.loop.turn(1.0)
@@ -165,23 +172,30 @@
         links = list(rig.far.links.values())
         ends = [*module.fars.values(), module.own]
         return {
-            "calls": len(rig.board.calls), "ids": len(rig.board.known), "orders": len(rig.board.todo),
+            "calls": len(rig.board.calls),
+            "ids": len(rig.board.known),
+            "orders": len(rig.board.todo),
             "flights": sum(len(each.flights) for each in links),
             "flights by line": sum(len(each.flights.by_way) for each in links),
             "lines that may answer late": sum(len(each.flights.tainted) for each in links),
             "releases to exchanges": sum(len(each.releases) for each in links),
             "releases to callers": len(rig.front.releases),
             "callers' open set-ups": sum(len(each.calls) for each in rig.front.talks.values()),
-            "module: calls": len(module.calls), "module: held": len(module.held),
-            "module: out": sum(len(each.out) for each in ends), "module: flying": len(module.flying),
-            "module: numbers": len(module.numbers), "module: first tries": len(module.first_tries),
+            "module: calls": len(module.calls),
+            "module: held": len(module.held),
+            "module: out": sum(len(each.out) for each in ends),
+            "module: flying": len(module.flying),
+            "module: numbers": len(module.numbers),
+            "module: first tries": len(module.first_tries),
         }
 
     def bounded(self) -> dict[str, int]:
         """Tables that never empty, with a bound of their own."""
         return {
-            "exchanges": len(self.rig.board.exchanges), "links": len(self.rig.far.links),
-            "module: exchanges": len(self.module.fars), "deadlines": len(self.rig.loop.deadlines.entries),
+            "exchanges": len(self.rig.board.exchanges),
+            "links": len(self.rig.far.links),
+            "module: exchanges": len(self.module.fars),
+            "deadlines": len(self.rig.loop.deadlines.entries),
             "calls known to be over": len(self.rig.far.over.calls),
             "module: overdue": sum(len(each.overdue) for each in self.module.fars.values()),
         }
@@ -221,22 +235,34 @@
             soak.batch(number)
         gc.collect()
         rows.append((quarter, soak.serial, resident() / 1e6, Counter(soak.most)))
-        click.echo(f"quarter {quarter}: {soak.serial} calls, {rows[-1][2]:.1f} MB, "
-                   f"{time.monotonic() - began:.0f} s", err=True)
+        click.echo(
+            f"quarter {quarter}: {soak.serial} calls, {rows[-1][2]:.1f} MB, {time.monotonic() - began:.0f} s",
+            err=True,
+        )
     soak.most.clear()
     soak.finish(number)
     left, bounds = soak.tables(), soak.bounded()
     untold = soak.untold
     command = f"python -m benchmarks.soak --calls {calls} --seed {seed}"
     happened = ", ".join(f"{count} {name}" for name, count in sorted(soak.counts.items()))
-    lines = [f"# {calls:,} calls through one process", "",
-             f"`{command}`, {time.monotonic() - began:.0f} s.", "",
-             f"What happened: {happened}; {len(untold)} ends told to nobody.", "",
-             "| quarter | calls | resident, MB |", "| --- | --- | --- |",
-             *(f"| {quarter} | {serial} | {mb:.1f} |" for quarter, serial, mb, _ in rows), "",
-             "| table | most, by quarter | left at the end |", "| --- | --- | --- |",
-             *(f"| {name} | {', '.join(str(most[name]) for *_, most in rows)} | {size} |"
-               for name, size in {**left, **bounds}.items())]
+    lines = [
+        f"# {calls:,} calls through one process",
+        "",
+        f"`{command}`, {time.monotonic() - began:.0f} s.",
+        "",
+        f"What happened: {happened}; {len(untold)} ends told to nobody.",
+        "",
+        "| quarter | calls | resident, MB |",
+        "| --- | --- | --- |",
+        *(f"| {quarter} | {serial} | {mb:.1f} |" for quarter, serial, mb, _ in rows),
+        "",
+        "| table | most, by quarter | left at the end |",
+        "| --- | --- | --- |",
+        *(
+            f"| {name} | {', '.join(str(most[name]) for *_, most in rows)} | {size} |"
+            for name, size in {**left, **bounds}.items()
+        ),
+    ]
     text = "\n".join(lines) + "\n"
     click.echo(text)
     if out is not None:
--- a/mintvalve/__main__.py
+++ b/mintvalve/__main__.py
@@ -33,9 +33,7 @@
 FEWEST = 16  # connections of callers at the least
 
 
-def build(
-    config: dict[str, Any], websocket: Options | None, read: Callable[[], dict[str, Any]]
-) -> Lifecycle:
+def build(config: dict[str, Any], websocket: Options | None, read: Callable[[], dict[str, Any]]) -> Lifecycle:
     """All parts, from a configuration, which `read` reads again."""
     pairs = flatten(config["settings"])
     settings = on_sockets(settings_of(pairs), SLACK_MS)
@@ -52,8 +50,9 @@
     board.far = exchanges
 
     def tell(held: dict[str, Entry], kind: ListKind = ListKind.FULL) -> None:
-        exchanges.listed({name: entry.address for name, entry in held.items()
-                          if entry.exchange.cell != settings.home})
+        exchanges.listed(
+            {name: entry.address for name, entry in held.items() if entry.exchange.cell != settings.home}
+        )
         board.listed([entry.exchange for entry in held.values()], kind)
 
     known = config.get("known", {})
--- a/mintvalve/analysis/index.py
+++ b/mintvalve/analysis/index.py
@@ -75,9 +75,7 @@
 
     __slots__ = ("keys", "parents", "starts", "values")
 
-    def __init__(
-        self, keys: array[int], parents: array[int], values: array[int], starts: array[int]
-    ) -> None:
+    def __init__(self, keys: array[int], parents: array[int], values: array[int], starts: array[int]) -> None:
         self.keys, self.parents, self.values = keys, parents, values
         self.starts = starts  # where the keys of each three first digits begin, and where all end
 
--- a/mintvalve/analysis/times.py
+++ b/mintvalve/analysis/times.py
@@ -130,11 +130,7 @@
         [(span.start, span.until, rule) for span, rule in own]
         + [(0, span.over, rule) for span, rule in before if span.over]
     )
-    return [
-        (rule, other)
-        for (_, end, rule), (start, _, other) in pairwise(parts)
-        if start < end
-    ]
+    return [(rule, other) for (_, end, rule), (start, _, other) in pairwise(parts) if start < end]
 
 
 @dataclass(slots=True)
--- a/mintvalve/choice.py
+++ b/mintvalve/choice.py
@@ -15,9 +15,35 @@
 from typing import Any
 
 from mintvalve.interface import (
-    Action, AttemptEnded, CallClass, CallerGone, CallOffered, CallStands, Cancel, Clearing, Event, Exchange,
-    Fail, ListKind, ListNews, Log, Outcome, PeerHeard, Probe, Refuse, Repeat, Report, ReportHeard, SetTimer,
-    Settings, SetUp, Started, State, Subscribe, Tell, TimerRang,
+    Action,
+    AttemptEnded,
+    CallClass,
+    CallerGone,
+    CallOffered,
+    CallStands,
+    Cancel,
+    Clearing,
+    Event,
+    Exchange,
+    Fail,
+    ListKind,
+    ListNews,
+    Log,
+    Outcome,
+    PeerHeard,
+    Probe,
+    Refuse,
+    Repeat,
+    Report,
+    ReportHeard,
+    SetTimer,
+    Settings,
+    SetUp,
+    Started,
+    State,
+    Subscribe,
+    Tell,
+    TimerRang,
 )
 
 CYCLE_MS = 1000.0  # ms; feedback cycle: troubles last ten seconds or so, the design's 2 s is slow
@@ -249,9 +275,15 @@
         self.usual, self.spread = LOST_MS, LOST_MS / 2  # delays of all ends: mean, mean deviation
         self.flying: dict[int, float] = {}  # call -> when its set-up went out, oldest first
         self.takers: dict[type, Callable[[Any], None]] = {
-            Started: self.on_start, ListNews: self.on_list, CallOffered: self.on_call,
-            CallStands: self.on_stands, AttemptEnded: self.on_ended, ReportHeard: self.on_report,
-            TimerRang: self.on_timer, PeerHeard: self.on_peer, CallerGone: lambda gone: self.drop(gone.call),
+            Started: self.on_start,
+            ListNews: self.on_list,
+            CallOffered: self.on_call,
+            CallStands: self.on_stands,
+            AttemptEnded: self.on_ended,
+            ReportHeard: self.on_report,
+            TimerRang: self.on_timer,
+            PeerHeard: self.on_peer,
+            CallerGone: lambda gone: self.drop(gone.call),
         }
         self.wait_t = WAIT_T * min((kind.aim_ms for kind in settings.classes if kind.aim_ms > 0), default=1e3)
         self.least_worth = min(kind.worth for kind in settings.classes)
@@ -442,7 +474,7 @@
         """A peer's word on its own groups; messages of another form or sender are passed over."""
         far = self.by_cell.get(event.sender)
         if far is not None and event.content.startswith(TELL_TAG):
-            far.room_map = int.from_bytes(event.content[len(TELL_TAG):], "little")
+            far.room_map = int.from_bytes(event.content[len(TELL_TAG) :], "little")
             far.told_map_at = self.now
 
     def on_timer(self, event: TimerRang) -> None:
@@ -632,8 +664,12 @@
             return False
         if self.now - far.told_map_at < self.turn_ms + STALE_MS and not far.room_map >> to & 1:
             return False  # its own proxy says that it has no circuit to spare there
-        return (far.free >= call.offer.width + self.allowance(far, call.kind) and self.gate(call, far)
-                and not far.silent(self.now) and self.allowed(call, far))
+        return (
+            far.free >= call.offer.width + self.allowance(far, call.kind)
+            and self.gate(call, far)
+            and not far.silent(self.now)
+            and self.allowed(call, far)
+        )
 
     def decide(self, call: Call) -> None:
         """Send, hold or answer."""
@@ -679,8 +715,10 @@
         """When another try may fare better: gaps and pauses on its way are over, and, where no circuit was
         free, one has come back by the calls' mean length. Told to callers where the protocol can say it."""
         far = self.by_cell.get(call.offer.destination, self.own)
-        waits = [max(each.gap.release if each.gap.t else 0.0, each.pause_until) - self.now
-                 for each in (far, self.own)]
+        waits = [
+            max(each.gap.release if each.gap.t else 0.0, each.pause_until) - self.now
+            for each in (far, self.own)
+        ]
         if far.silent(self.now):
             waits.append(SILENT_MS)
         if far.free < call.offer.width:
--- a/mintvalve/config/__main__.py
+++ b/mintvalve/config/__main__.py
@@ -76,8 +76,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    parser = argparse.ArgumentParser(
-        prog="mintvalve.config", description="Writes and checks configurations.")
+    parser = argparse.ArgumentParser(prog="mintvalve.config", description="Writes and checks configurations.")
     parser.add_argument("--settings", type=Path, help="JSON or YAML: settings that all applications share")
     commands = parser.add_subparsers(dest="command", required=True)
     writer = commands.add_parser("write", help="write each application's files from an inventory")
--- a/mintvalve/config/applications.py
+++ b/mintvalve/config/applications.py
@@ -97,10 +97,18 @@
 
 
 CHECKS: dict[str, Callable[[Any], Any]] = {
-    "listen": address, "nameserver": address, "region": region,
-    "exchange": whole(0), "exchange_id": label, "exchange_address": address,
-    "websocket": address, "origins": origins,
-    "cores": share, "memory_mb": whole(1), "sockets": whole(64), SETTINGS: mapping,
+    "listen": address,
+    "nameserver": address,
+    "region": region,
+    "exchange": whole(0),
+    "exchange_id": label,
+    "exchange_address": address,
+    "websocket": address,
+    "origins": origins,
+    "cores": share,
+    "memory_mb": whole(1),
+    "sockets": whole(64),
+    SETTINGS: mapping,
 }
 REQUIRED = ("listen", "nameserver", "region", "exchange", "exchange_id", "exchange_address")
 ALONE = ("listen", "exchange", "exchange_id", "exchange_address", "websocket")  # never shared
@@ -149,8 +157,12 @@
             found.append(("Specifics", f"{kind.name} needs a width from 1 on and a holding time above 0"))
     if read.max_attempts < 1:
         found.append(("Limits.SendCap", "must be from 1 on"))
-    for path, value in (("Specifics.ClearWaitMs", read.release_wait_ms), ("Safety.ColdMs", read.cold_ms),
-                        ("Safety.DrainGraceMs", read.drain_grace_ms), ("Safety.TipAfterMs", read.fall_ms)):
+    for path, value in (
+        ("Specifics.ClearWaitMs", read.release_wait_ms),
+        ("Safety.ColdMs", read.cold_ms),
+        ("Safety.DrainGraceMs", read.drain_grace_ms),
+        ("Safety.TipAfterMs", read.fall_ms),
+    ):
         if value < 0:
             found.append((path, "must not be negative"))
     if not 0 < read.cold_capacity <= 1:
@@ -162,8 +174,11 @@
     """The settings that follow from the inventory."""
     order = sorted(each.exchange for each in everyone)
     return {
-        "Specifics": {"HomeNo": app.exchange}, "Me": order.index(app.exchange), "Balancers": len(everyone),
-        "Zone": app.region, "Zones": sorted({each.region for each in everyone}),
+        "Specifics": {"HomeNo": app.exchange},
+        "Me": order.index(app.exchange),
+        "Balancers": len(everyone),
+        "Zone": app.region,
+        "Zones": sorted({each.region for each in everyone}),
     }
 
 
--- a/mintvalve/config/files.py
+++ b/mintvalve/config/files.py
@@ -26,13 +26,23 @@
 def config_of(app: Application, everyone: list[Application]) -> dict[str, Any]:
     """config.json: the program draws its seed itself at each start."""
     members = [
-        {"id": each.exchange_id, "host_port": each.exchange_address, "locality": each.region, "flavor": "std",
-         "cell": each.exchange, "phase": "SERVING", "size": 1, "up_since_ms": 0}
+        {
+            "id": each.exchange_id,
+            "host_port": each.exchange_address,
+            "locality": each.region,
+            "flavor": "std",
+            "cell": each.exchange,
+            "phase": "SERVING",
+            "size": 1,
+            "up_since_ms": 0,
+        }
         for each in sorted(everyone, key=lambda each: each.exchange)
     ]
     fleet = {"revision": 1, "complete": True, "members": members}
     return {
-        "name": app.name, "listen": app.listen, "nameserver": app.nameserver,
+        "name": app.name,
+        "listen": app.listen,
+        "nameserver": app.nameserver,
         "limits": {"cores": app.cores, "memory_mb": app.memory_mb, "sockets": app.sockets},
         "known": {"seq": 1, "results": [{"seq": 1, "fleet": fleet}]},
         "settings": merge(app.settings, derived(app, everyone)),
--- a/mintvalve/config/inventory.py
+++ b/mintvalve/config/inventory.py
@@ -148,8 +148,12 @@
 
     def record(self, node: yaml.Node, name: str, row: int) -> Record:
         pairs = self.pairs(node, name)
-        return Record(name, row, {key: self.value(each) for key, (each, _) in pairs.items()},
-                      {key: at for key, (_, at) in pairs.items()})
+        return Record(
+            name,
+            row,
+            {key: self.value(each) for key, (each, _) in pairs.items()},
+            {key: at for key, (_, at) in pairs.items()},
+        )
 
     def group(self, name: str, node: yaml.Node, row: int, above: Record) -> None:
         parts = self.pairs(node, name)
--- a/mintvalve/core/delivery.py
+++ b/mintvalve/core/delivery.py
@@ -212,8 +212,13 @@
                 break
             way = release.by
             works = way is not None and way.open and way.spoke_at > release.said_at
-            if (works and way is not None and not way.acknowledges and release.met
-                    and now - release.said_at >= SURE_MS):
+            if (
+                works
+                and way is not None
+                and not way.acknowledges
+                and release.met
+                and now - release.said_at >= SURE_MS
+            ):
                 self.end(release.call, "sure")
             elif self.unheard(release, now):
                 self.tell(release, now)
--- a/mintvalve/core/switchboard.py
+++ b/mintvalve/core/switchboard.py
@@ -11,7 +11,20 @@
 from collections.abc import Callable, Iterable
 
 from mintvalve.core.calls import (
-    Attempt, Call, CallOff, CallState, Ended, GiveUp, Left, Listed, News, Order, Request, Room, Send, Stood,
+    Attempt,
+    Call,
+    CallOff,
+    CallState,
+    Ended,
+    GiveUp,
+    Left,
+    Listed,
+    News,
+    Order,
+    Request,
+    Room,
+    Send,
+    Stood,
     TurnAway,
 )
 from mintvalve.core.ports import Caller, Desk, ExchangeSide, Timers
@@ -112,7 +125,11 @@
         self.tell(Stood(attempt, self.timers.now() - attempt.sent_at))
 
     def ended(
-        self, attempt: Attempt, outcome: Outcome, clearing: int = 0, pause_ms: float = 0.0,
+        self,
+        attempt: Attempt,
+        outcome: Outcome,
+        clearing: int = 0,
+        pause_ms: float = 0.0,
         report: Report | None = None,
     ) -> None:
         """An attempt, or the call that stood by it, is over."""
@@ -130,8 +147,9 @@
             self.leave(call, attempt)
             if outcome in MUST_WAIT:
                 call.not_before = now + self.rules.release_wait_ms
-        self.tell(Ended(
-            attempt, outcome, now - attempt.sent_at, standing, clearing, pause_ms, report or Report()))
+        self.tell(
+            Ended(attempt, outcome, now - attempt.sent_at, standing, clearing, pause_ms, report or Report())
+        )
 
     def room(self, exchange: str, report: Report) -> None:
         """The state of a trunk group."""
--- a/mintvalve/facade.py
+++ b/mintvalve/facade.py
@@ -11,7 +11,18 @@
 from mintvalve import interface as io
 from mintvalve.choice import Controller
 from mintvalve.core.calls import (
-    Call, CallOff, Ended, GiveUp, Left, Listed, News, Order, Room, Send, Stood, TurnAway,
+    Call,
+    CallOff,
+    Ended,
+    GiveUp,
+    Left,
+    Listed,
+    News,
+    Order,
+    Room,
+    Send,
+    Stood,
+    TurnAway,
 )
 
 log = logging.getLogger("mintvalve.desk")
@@ -22,7 +33,10 @@
     """One controller of the decision module, its clock and its timers."""
 
     def __init__(
-        self, settings: io.Settings, seed: int, now: Callable[[], float],
+        self,
+        settings: io.Settings,
+        seed: int,
+        now: Callable[[], float],
         remind: Callable[[float, int], object],
     ) -> None:
         self.controller = Controller(settings, seed)
@@ -32,10 +46,20 @@
     def pick(self, call: Call) -> list[Order]:
         """What to do with a call that was just taken; no order means that it is held."""
         ask = call.request
-        return self.hand(io.CallOffered(
-            call.number, ask.kind, ask.called, call.deadline, ask.destination, ask.width, ask.tandem,
-            ask.in_transit, was_cut=ask.was_cut,
-        ), call.number)
+        return self.hand(
+            io.CallOffered(
+                call.number,
+                ask.kind,
+                ask.called,
+                call.deadline,
+                ask.destination,
+                ask.width,
+                ask.tandem,
+                ask.in_transit,
+                was_cut=ask.was_cut,
+            ),
+            call.number,
+        )
 
     def report(self, news: News) -> list[Order]:
         """What follows from news."""
@@ -45,9 +69,20 @@
                 return self.hand(io.CallStands(number, attempt.index, attempt.exchange, elapsed))
             case Ended(attempt, outcome, elapsed, ended, clearing, pause, report):
                 number = attempt.call.number
-                return self.hand(io.AttemptEnded(
-                    number, attempt.index, attempt.exchange, outcome, elapsed, ended, clearing, pause, report,
-                ), None if ended else number)
+                return self.hand(
+                    io.AttemptEnded(
+                        number,
+                        attempt.index,
+                        attempt.exchange,
+                        outcome,
+                        elapsed,
+                        ended,
+                        clearing,
+                        pause,
+                        report,
+                    ),
+                    None if ended else number,
+                )
             case Left(call):
                 return self.hand(io.CallerGone(call.number))
             case Room(exchange, report):
--- a/mintvalve/lifecycle.py
+++ b/mintvalve/lifecycle.py
@@ -60,8 +60,12 @@
     """Moves from phase to phase, and owns what begins and ends with them."""
 
     def __init__(
-        self, loop: Loop, switchboard: Switchboard, joined: Callable[[], bool],
-        open_fronts: Callable[[], list[Front]], read_again: Callable[[], None],
+        self,
+        loop: Loop,
+        switchboard: Switchboard,
+        joined: Callable[[], bool],
+        open_fronts: Callable[[], list[Front]],
+        read_again: Callable[[], None],
     ) -> None:
         self.loop, self.switchboard = loop, switchboard
         self.joined, self.open_fronts, self.read_again = joined, open_fronts, read_again
@@ -130,8 +134,10 @@
         try:
             self.read_again()
         except Exception as fault:
-            log.error("the new configuration can't be used, the old one stays",
-                      extra={"fault": f"{type(fault).__name__}: {fault}"})
+            log.error(
+                "the new configuration can't be used, the old one stays",
+                extra={"fault": f"{type(fault).__name__}: {fault}"},
+            )
         self.enter(before)
 
     def drain(self) -> None:
--- a/mintvalve/net/binary_front.py
+++ b/mintvalve/net/binary_front.py
@@ -10,7 +10,16 @@
 from mintvalve.core.calls import Call, CallState, Request
 from mintvalve.core.switchboard import Switchboard, Unacceptable
 from mintvalve.net.codec import (
-    FROM_CALLERS, BadBytes, Cause, Code, Decoder, Kind, Message, encode, release, whole,
+    FROM_CALLERS,
+    BadBytes,
+    Cause,
+    Code,
+    Decoder,
+    Kind,
+    Message,
+    encode,
+    release,
+    whole,
 )
 from mintvalve.net.connection import Connection, Listener
 from mintvalve.net.courier import Courier
@@ -60,12 +69,20 @@
     if not message.call or not message.text(Code.CLASS) or not message.text(Code.CALLED).isprintable():
         raise BadBytes("a set-up without an id, a class or a number that can be read")
     figures = message.fields(Code.FIGURES)
-    dest, width, via = (whole(figures.get(name, default), name) for name, default in
-                        (("dest", ""), ("width", "1"), ("via", "-1")))
+    dest, width, via = (
+        whole(figures.get(name, default), name)
+        for name, default in (("dest", ""), ("width", "1"), ("via", "-1"))
+    )
     return Request(
-        identity=message.call, kind=message.text(Code.CLASS), called=message.text(Code.CALLED),
-        wait_ms=float(message.whole(Code.WAIT, 0)), destination=dest, width=width, tandem=via,
-        in_transit=figures.get("transit", "0") == "1", was_cut=figures.get("again", "0") == "1",
+        identity=message.call,
+        kind=message.text(Code.CLASS),
+        called=message.text(Code.CALLED),
+        wait_ms=float(message.whole(Code.WAIT, 0)),
+        destination=dest,
+        width=width,
+        tandem=via,
+        in_transit=figures.get("transit", "0") == "1",
+        was_cut=figures.get("again", "0") == "1",
         description=message.parameters.get(Code.DESCRIPTION),
     )
 
@@ -74,7 +91,11 @@
     """Callers by the binary protocol."""
 
     def __init__(
-        self, loop: Loop, switchboard: Switchboard, address: tuple[str, int], room: int,
+        self,
+        loop: Loop,
+        switchboard: Switchboard,
+        address: tuple[str, int],
+        room: int,
         unknown: Callable[[int], None],
     ) -> None:
         self.loop, self.switchboard, self.unknown = loop, switchboard, unknown
--- a/mintvalve/net/codec.py
+++ b/mintvalve/net/codec.py
@@ -28,7 +28,8 @@
 
 
 FROM_CALLERS = frozenset(
-    {Kind.SET_UP, Kind.PROGRESS, Kind.RELEASE, Kind.RELEASE_HEARD, Kind.TEST, Kind.TESTED})
+    {Kind.SET_UP, Kind.PROGRESS, Kind.RELEASE, Kind.RELEASE_HEARD, Kind.TEST, Kind.TESTED}
+)
 FROM_EXCHANGES = frozenset(Kind) - {Kind.SET_UP}
 
 
@@ -103,9 +104,7 @@
 
 def encode(message: Message) -> bytes:
     """The bytes of a message."""
-    body = b"".join(
-        PARAMETER.pack(code, len(value)) + value for code, value in message.parameters.items()
-    )
+    body = b"".join(PARAMETER.pack(code, len(value)) + value for code, value in message.parameters.items())
     whole = HEAD.pack(AFTER_LENGTH + len(body), message.kind, message.call) + body
     if len(whole) > MOST:
         raise ValueError(f"a message of {len(whole)} bytes")
@@ -129,7 +128,7 @@
         place += PARAMETER.size
         if place + length > len(body):
             raise BadBytes(f"parameter {code} is longer than its message")
-        message.parameters[code] = bytes(body[place:place + length])
+        message.parameters[code] = bytes(body[place : place + length])
         place += length
     return message
 
@@ -152,6 +151,6 @@
                 raise BadBytes(f"a message of type {self.rest[2]}")
             if len(self.rest) < 2 + length:
                 return
-            body = bytes(self.rest[2:2 + length])
-            del self.rest[:2 + length]
+            body = bytes(self.rest[2 : 2 + length])
+            del self.rest[: 2 + length]
             yield decode(body)
--- a/mintvalve/net/connection.py
+++ b/mintvalve/net/connection.py
@@ -246,7 +246,7 @@
             last = each.since if each.spoke_at is None else each.spoke_at
             if each.open and now - last >= YOUNG_MS and (rank := self.owner.rank(each)) >= 0:
                 found.append((each.spoke_at is not None, rank, last, each))
-        for *_, each in sorted(found, key=lambda entry: entry[:3])[:1 + self.room // 16]:
+        for *_, each in sorted(found, key=lambda entry: entry[:3])[: 1 + self.room // 16]:
             self.owner.turn_out(each)
             self.forget(each)
         return len(self.connections) < self.room
--- a/mintvalve/net/exchanges.py
+++ b/mintvalve/net/exchanges.py
@@ -21,7 +21,15 @@
 from mintvalve.core.switchboard import Switchboard
 from mintvalve.interface import Clearing, Outcome, Report
 from mintvalve.net.codec import (
-    FROM_EXCHANGES, BadBytes, Cause, Code, Decoder, Kind, Message, encode, release,
+    FROM_EXCHANGES,
+    BadBytes,
+    Cause,
+    Code,
+    Decoder,
+    Kind,
+    Message,
+    encode,
+    release,
 )
 from mintvalve.net.connection import Connection
 from mintvalve.net.courier import Courier
@@ -225,11 +233,15 @@
     def write(self, flight: Flight[Line], line: Line) -> None:
         attempt, ask = flight.attempt, flight.attempt.call.request
         left = attempt.sent_at + attempt.wait_ms - self.loop.now()
-        message = Message(Kind.SET_UP, ask.identity, {
-            Code.CLASS: ask.kind.encode(),
-            Code.WAIT: str(max(1, int(left))).encode(),
-            Code.CALLED: ask.called.encode(),
-        })
+        message = Message(
+            Kind.SET_UP,
+            ask.identity,
+            {
+                Code.CLASS: ask.kind.encode(),
+                Code.WAIT: str(max(1, int(left))).encode(),
+                Code.CALLED: ask.called.encode(),
+            },
+        )
         if ask.description is not None:
             message.parameters[Code.DESCRIPTION] = ask.description
         self.releases.crossed(ask.identity)  # of an earlier attempt: said again, it would end this one
@@ -346,7 +358,11 @@
             if outcome is Outcome.RESET:
                 self.flights.taint(message.call, line)  # what it ended may be answered yet
         self.side.switchboard.ended(
-            flight.attempt, outcome, NOTES.get(note, Clearing.NONE), pause, report,
+            flight.attempt,
+            outcome,
+            NOTES.get(note, Clearing.NONE),
+            pause,
+            report,
         )
 
 
--- a/mintvalve/net/names.py
+++ b/mintvalve/net/names.py
@@ -51,9 +51,16 @@
     for event in known.get("results", []):
         fleet = event["fleet"]
         entries = [
-            Entry(Exchange(member["id"], int(member.get("cell", -1)), STATES[member.get("phase", "SERVING")],
-                           member.get("locality", ""), float(member.get("up_since_ms") or 0)),
-                  host_port(member["host_port"]))
+            Entry(
+                Exchange(
+                    member["id"],
+                    int(member.get("cell", -1)),
+                    STATES[member.get("phase", "SERVING")],
+                    member.get("locality", ""),
+                    float(member.get("up_since_ms") or 0),
+                ),
+                host_port(member["host_port"]),
+            )
             for member in fleet.get("members", [])
         ]
         kind = ListKind.FULL if fleet.get("complete") or not events else ListKind.CHANGES
@@ -100,8 +107,9 @@
         if target.lower() not in hosts:
             raise ValueError(f"no address for {target}")
         state = State.READY if item.priority == 0 else State.DRAINING
-        exchange = Exchange(labels[0], int(facts.get("cell", -1)), state, labels[1],
-                            float(facts.get("started", 0) or 0))
+        exchange = Exchange(
+            labels[0], int(facts.get("cell", -1)), state, labels[1], float(facts.get("started", 0) or 0)
+        )
         held[labels[0]] = Entry(exchange, (hosts[target.lower()], item.port))
     return serial, held
 
@@ -152,7 +160,7 @@
     def query(self) -> None:
         query = dns.message.make_query(SERVICE, dns.rdatatype.SRV)
         query.flags &= ~dns.flags.RD
-        self.asked, self.answered = [*self.asked[1 - KEPT:], query.id], False
+        self.asked, self.answered = [*self.asked[1 - KEPT :], query.id], False
         try:
             self.sock.sendto(query.to_wire(), self.server)
         except OSError as fault:
--- a/mintvalve/net/websocket_front.py
+++ b/mintvalve/net/websocket_front.py
@@ -108,8 +108,11 @@
     kind, called = message.get("class"), message.get("number")
     if not isinstance(kind, str):
         raise Fault("bad_field", "class must be a text")
-    if not isinstance(called, str) or not 0 < len(called.encode(errors="replace")) <= MOST_NUMBER \
-            or not called.isprintable():
+    if (
+        not isinstance(called, str)
+        or not 0 < len(called.encode(errors="replace")) <= MOST_NUMBER
+        or not called.isprintable()
+    ):
         raise Fault("bad_field", f"number must be a printable text of 1 to {MOST_NUMBER} bytes")
     again = message.get("again", False)
     if not isinstance(again, bool):
@@ -124,10 +127,15 @@
         if len(description) > MOST_DESCRIPTION:
             raise Fault("bad_field", f"description must have {MOST_DESCRIPTION} bytes at the most")
     return Request(
-        identity=identity_of(message), kind=kind, called=called,
+        identity=identity_of(message),
+        kind=kind,
+        called=called,
         wait_ms=float(whole(message, "wait_ms", 1, LONGEST_WAIT_MS)),
-        destination=whole(message, "destination", 0, 1_000_000), width=whole(message, "width", 1, 1024, 1),
-        tandem=whole(message, "tandem", -1, 1_000_000, -1), was_cut=again, description=description,
+        destination=whole(message, "destination", 0, 1_000_000),
+        width=whole(message, "width", 1, 1024, 1),
+        tandem=whole(message, "tandem", -1, 1_000_000, -1),
+        was_cut=again,
+        description=description,
     )
 
 
--- a/mintvalve/settings.py
+++ b/mintvalve/settings.py
@@ -174,5 +174,6 @@
 
 def on_sockets(settings: io.Settings, slack_ms: float) -> io.Settings:
     """The same settings where every time limit of the rules is a little longer."""
-    return replace(settings, release_wait_ms=settings.release_wait_ms + slack_ms,
-                   fall_ms=settings.fall_ms + slack_ms)
+    return replace(
+        settings, release_wait_ms=settings.release_wait_ms + slack_ms, fall_ms=settings.fall_ms + slack_ms
+    )
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -176,7 +176,12 @@
         super().__init__(rig, address)
 
     def set_up(
-        self, call: int, to: int = 1, wait: int = 3000, kind: str = "plain", called: str = "n",
+        self,
+        call: int,
+        to: int = 1,
+        wait: int = 3000,
+        kind: str = "plain",
+        called: str = "n",
     ) -> None:
         raise NotImplementedError
 
@@ -214,12 +219,25 @@
         self.connection.send(encode(Message(kind, call, parameters or {})))
 
     def set_up(
-        self, call: int, to: int = 1, wait: int = 3000, kind: str = "plain", called: str = "n",
+        self,
+        call: int,
+        to: int = 1,
+        wait: int = 3000,
+        kind: str = "plain",
+        called: str = "n",
     ) -> None:
         figures = f"dest:{to};width:1;via:-1".encode()
-        self.send(Kind.SET_UP, call, {
-            Code.CLASS: kind.encode(), Code.WAIT: str(wait).encode(), Code.CALLED: called.encode(),
-            Code.FIGURES: figures, Code.DESCRIPTION: b"offer\0\xff"})
+        self.send(
+            Kind.SET_UP,
+            call,
+            {
+                Code.CLASS: kind.encode(),
+                Code.WAIT: str(wait).encode(),
+                Code.CALLED: called.encode(),
+                Code.FIGURES: figures,
+                Code.DESCRIPTION: b"offer\0\xff",
+            },
+        )
 
     def release(self, call: int) -> None:
         self.connection.send(release(call, Cause.NORMAL))
@@ -274,10 +292,22 @@
         self.connection.send(self.wire.send(ws.TextMessage(json.dumps(message))))
 
     def set_up(
-        self, call: int, to: int = 1, wait: int = 3000, kind: str = "plain", called: str = "n",
+        self,
+        call: int,
+        to: int = 1,
+        wait: int = 3000,
+        kind: str = "plain",
+        called: str = "n",
     ) -> None:
-        self.send(type="set_up", id=f"{call:016x}", **{"class": kind}, number=called, wait_ms=wait,
-                  destination=to, description=base64.b64encode(b"offer\0\xff").decode())
+        self.send(
+            type="set_up",
+            id=f"{call:016x}",
+            **{"class": kind},
+            number=called,
+            wait_ms=wait,
+            destination=to,
+            description=base64.b64encode(b"offer\0\xff").decode(),
+        )
 
     def release(self, call: int) -> None:
         self.send(type="release", id=f"{call:016x}")
--- a/tests/test_calls_model.py
+++ b/tests/test_calls_model.py
@@ -10,8 +10,9 @@
 from mintvalve.net.loop import Loop
 from tests.rig import RULES, Clock
 
-ENDS = st.sampled_from([Outcome.LINE_BUSY, Outcome.NOT_SET_UP, Outcome.UNREACHABLE, Outcome.RESET,
-                        Outcome.NOT_SENT])
+ENDS = st.sampled_from(
+    [Outcome.LINE_BUSY, Outcome.NOT_SET_UP, Outcome.UNREACHABLE, Outcome.RESET, Outcome.NOT_SENT]
+)
 ANSWERS = {"answered", "refused", "failed", "left"}
 
 
@@ -91,7 +92,8 @@
     def offer(self, to: int, wait: int, dear: bool, transit: bool) -> None:
         kind = "dear" if dear else "plain"
         self.board.offer(
-            Request(len(self.calls) + 1, kind, f"n{to}", wait, to, tandem=2, in_transit=transit), self)
+            Request(len(self.calls) + 1, kind, f"n{to}", wait, to, tandem=2, in_transit=transit), self
+        )
 
     @rule(pick=st.integers(0, 99), stands=st.booleans())
     def answer(self, pick: int, stands: bool) -> None:
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -4,11 +4,22 @@
 from hypothesis import given, settings, strategies as st
 
 from mintvalve.net.codec import (
-    FROM_CALLERS, FROM_EXCHANGES, MOST, BadBytes, Code, Decoder, Kind, Message, encode, release,
+    FROM_CALLERS,
+    FROM_EXCHANGES,
+    MOST,
+    BadBytes,
+    Code,
+    Decoder,
+    Kind,
+    Message,
+    encode,
+    release,
 )
 
 MESSAGES = st.builds(
-    Message, st.sampled_from(Kind), st.integers(0, 2**64 - 1),
+    Message,
+    st.sampled_from(Kind),
+    st.integers(0, 2**64 - 1),
     st.dictionaries(st.integers(0, 255), st.binary(max_size=60), max_size=5),
 )
 
@@ -36,14 +47,20 @@
 
 
 def test_the_bytes_are_those_of_the_protocol() -> None:
-    assert release(0x7F3A9C21E0B4D655, 16).hex() == "000d" "0c" "7f3a9c21e0b4d655" "3d" "0001" "10"
-
-
-@pytest.mark.parametrize("data", [
-    b"\0\x08", b"\0\0", b"\xff\xff", (MOST - 1).to_bytes(2, "big"),  # lengths that no message has
-    b"\0\x0b\x01" + bytes(8) + b"\x21\0",  # half a parameter
-    b"\0\x0c\x01" + bytes(8) + b"\x21\0\x05",  # one longer than its message
-])
+    assert release(0x7F3A9C21E0B4D655, 16).hex() == "000d0c7f3a9c21e0b4d6553d000110"
+
+
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"\0\x08",
+        b"\0\0",
+        b"\xff\xff",
+        (MOST - 1).to_bytes(2, "big"),  # lengths that no message has
+        b"\0\x0b\x01" + bytes(8) + b"\x21\0",  # half a parameter
+        b"\0\x0c\x01" + bytes(8) + b"\x21\0\x05",  # one longer than its message
+    ],
+)
 def test_what_is_no_message_is_bad(data: bytes) -> None:
     with pytest.raises(BadBytes):
         list(Decoder().feed(data))
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -14,8 +14,10 @@
 
 EXAMPLES = Path(__file__).parent.parent / "docs" / "examples"
 SHARED = ["--settings", str(EXAMPLES / "settings.yaml")]
-ROW = ("falkirk-desk,127.1.0.1:3868,127.2.0.1:5300,central-belt,0,s-falkirk,127.3.0.1:3868,127.1.0.1:8068,"
-       "http://127.0.0.1:8080,192,5")
+ROW = (
+    "falkirk-desk,127.1.0.1:3868,127.2.0.1:5300,central-belt,0,s-falkirk,127.3.0.1:3868,127.1.0.1:8068,"
+    "http://127.0.0.1:8080,192,5"
+)
 HEAD = (EXAMPLES / "inventory.csv").read_text().splitlines()[0]
 HOST = """all:
   vars: {nameserver: "127.2.0.1:5300", region: north}
@@ -29,8 +31,9 @@
 
 
 def tree(folder: Path) -> dict[str, bytes]:
-    return {path.relative_to(folder).as_posix(): path.read_bytes()
-            for path in folder.rglob("*") if path.is_file()}
+    return {
+        path.relative_to(folder).as_posix(): path.read_bytes() for path in folder.rglob("*") if path.is_file()
+    }
 
 
 @pytest.mark.parametrize("name", ["inventory.csv", "inventory.yaml"])
@@ -114,9 +117,13 @@
     (swap(10, "none"), ["i.csv:2: settings: invalid literal"]),
     (f"{HEAD}\n{ROW}\n{ROW}\n", ["i.csv:3: application: falkirk-desk stands twice, first in row 2"]),
     (f'{HEAD}\n"{ROW}\n', ["i.csv:2: not CSV", "i.csv: no application"]),
-    (f"{HEAD}\n{ROW}\n{ROW.replace('falkirk', 'other', 1)}\n",
-     [f"i.csv:3: {name}:" for name in
-      ("exchange", "exchange_address", "exchange_id", "listen", "websocket")]),
+    (
+        f"{HEAD}\n{ROW}\n{ROW.replace('falkirk', 'other', 1)}\n",
+        [
+            f"i.csv:3: {name}:"
+            for name in ("exchange", "exchange_address", "exchange_id", "listen", "websocket")
+        ],
+    ),
 ]
 BAD_YAML = [
     ("", ["i.yaml: the inventory is empty"]),
@@ -133,10 +140,16 @@
 ]
 
 
-@pytest.mark.parametrize(("name", "text", "said"), [("i.csv", *each) for each in BAD_CSV] + [
-    ("i.yaml", *each) for each in BAD_YAML])
+@pytest.mark.parametrize(
+    ("name", "text", "said"),
+    [("i.csv", *each) for each in BAD_CSV] + [("i.yaml", *each) for each in BAD_YAML],
+)
 def test_every_fault_is_reported_with_file_row_and_field(
-    name: str, text: str, said: list[str], tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
+    name: str,
+    text: str,
+    said: list[str],
+    tmp_path: Path,
+    monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     monkeypatch.chdir(tmp_path)
@@ -164,19 +177,30 @@
     assert main(["check", "."]) == 1
     lines = capsys.readouterr().err.splitlines()
     mine = [line for line in lines if line.startswith("falkirk-desk/config.json")]
-    for part in ("listen: must be an IPv4", "known: can't be read", "limits.memory_mb: must",
-                 "seed: must be hex", "settings.Services.1.GoalTimeMs: must"):
+    for part in (
+        "listen: must be an IPv4",
+        "known: can't be read",
+        "limits.memory_mb: must",
+        "seed: must be hex",
+        "settings.Services.1.GoalTimeMs: must",
+    ):
         assert any(part in line for line in mine), (part, mine)
     for part in (":1: listen:", ":2: origins:", ":3: ping_ms:", ":4: colour:"):
         assert any(line.startswith(f"falkirk-desk/websocket.toml{part}") for line in lines), (part, lines)
     assert any(line.startswith("stirling-desk/config.json:2: not JSON") for line in lines)
 
 
-@pytest.mark.parametrize("arguments", [
-    ["check", "nowhere.csv"], ["check", "nowhere.ini"], ["check", "."],
-    ["--settings", "nowhere", "check", "i.csv"],
-    ["write", "i.csv", "--out", "i.csv"], ["check", "binary.csv"],
-])
+@pytest.mark.parametrize(
+    "arguments",
+    [
+        ["check", "nowhere.csv"],
+        ["check", "nowhere.ini"],
+        ["check", "."],
+        ["--settings", "nowhere", "check", "i.csv"],
+        ["write", "i.csv", "--out", "i.csv"],
+        ["check", "binary.csv"],
+    ],
+)
 def test_what_cant_be_read_or_written_is_said_without_a_traceback(
     arguments: list[str], tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -20,11 +20,7 @@
     "Services.0.HardLimitMs=9000.0 "
     "StepMs=5.0 Unknown.Key=7 Specifics.Topology=network"
 )
-LISTS = (
-    "DEFINE_LIST 0 2\nROW 10.0.0.1:1 z k 0 1 1 -\n"
-    "ROW 10.0.0.2:1 z k 1 1 1.5 0\n"
-    "UPDATE proxy-0 2 1 0\n"
-)
+LISTS = "DEFINE_LIST 0 2\nROW 10.0.0.1:1 z k 0 1 1 -\nROW 10.0.0.2:1 z k 1 1 1.5 0\nUPDATE proxy-0 2 1 0\n"
 START = f"UP proxy-0 7 {SETTINGS}\n{LISTS}"
 CALL = "DEMAND proxy-0 55 c - num:a 4000.0 - 1 1 -1 0\n"
 
@@ -85,7 +81,11 @@
 
 def adapter(text: str, seed: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "mintvalve.drill"], input=text, capture_output=True, text=True, check=False,
+        [sys.executable, "-m", "mintvalve.drill"],
+        input=text,
+        capture_output=True,
+        text=True,
+        check=False,
         env={**os.environ, "PYTHONHASHSEED": seed},
     )
 
--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -73,8 +73,14 @@
     played = [play(rig, front(rig), 100 * (place + 1)) for place, front in enumerate(FRONTS)]
     assert played[0] == played[1] == SCRIPT
     heard = [each for each in rig.exchange().heard if each.kind == Kind.SET_UP]
-    sent = [sorted((each.text(Code.CLASS), each.text(Code.CALLED), each.parameters[Code.DESCRIPTION])
-                   for each in heard if each.call // 100 == place) for place in (1, 2)]
+    sent = [
+        sorted(
+            (each.text(Code.CLASS), each.text(Code.CALLED), each.parameters[Code.DESCRIPTION])
+            for each in heard
+            if each.call // 100 == place
+        )
+        for place in (1, 2)
+    ]
     assert sent[0] == sent[1]
 
 
@@ -108,7 +114,9 @@
         rig.exchange().release(5, Cause.TEMPORARY)
         rig.until(lambda: caller.heard)
         assert [each.outcome for each in rig.desk.news if isinstance(each, Ended)] == [
-            Outcome.RESET, Outcome.NOT_SENT]
+            Outcome.RESET,
+            Outcome.NOT_SENT,
+        ]
         assert [kind for kind, _ in rig.exchange().kinds(5)] == [Kind.SET_UP]
 
     def test_a_caller_that_leaves_mid_attempt_cancels_it(self, rig: Rig, front: type[Caller]) -> None:
@@ -160,8 +168,13 @@
         for call, to, wait in ((0, 1, 3000), (6, 99, 3000), (7, 1, 10**9 - 1), (8, -3, 3000)):
             caller = front(rig)
             caller.set_up(call, to, wait)
-            rig.until(lambda: caller.heard or caller.ended  # noqa: B023
-                      or (isinstance(caller, WebCaller) and caller.errors))  # noqa: B023
+            rig.until(
+                lambda: (
+                    caller.heard  # noqa: B023
+                    or caller.ended  # noqa: B023
+                    or (isinstance(caller, WebCaller) and caller.errors)  # noqa: B023
+                )
+            )
             assert [each[0] for each in caller.heard] in ([], ["failed"])
         assert not rig.exchange().by_call and not rig.board.calls
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -220,8 +220,9 @@
     reset(rig)
     rig.later(500)
     assert ("release", f"{7:016x}", Cause.TEMPORARY) in caller.heard
-    ended = {each.attempt.call.request.identity: each.outcome for each in rig.desk.news
-             if isinstance(each, Ended)}
+    ended = {
+        each.attempt.call.request.identity: each.outcome for each in rig.desk.news if isinstance(each, Ended)
+    }
     assert ended[8] is Outcome.RESET
 
 
@@ -309,20 +310,25 @@
     rig.until(lambda: len(rig.exchange().by_call) == 2)
     rig.exchange().by_call[7].send(b"\0\x30\x09\0")
     rig.later(400)
-    ended = {each.attempt.call.request.identity: each.outcome for each in rig.desk.news
-             if isinstance(each, Ended)}
+    ended = {
+        each.attempt.call.request.identity: each.outcome for each in rig.desk.news if isinstance(each, Ended)
+    }
     assert ended == {7: Outcome.RESET, 8: Outcome.RESET}
     # The exchange takes a call for standing whose answer it sent, and keeps its circuits: it is told.
     rig.until(lambda: all((Kind.RELEASE, Cause.NORMAL) in rig.exchange().kinds(call) for call in (7, 8)))
 
 
-@pytest.mark.parametrize("spoilt", [
-    encode(Message(Kind.ANSWER, 7)),  # with no description
-    encode(Message(Kind.RELEASE, 7)), encode(Message(Kind.RELEASE, 7, {Code.CAUSE: b"\x99"})),
-    encode(Message(Kind.RELEASE, 7, {Code.CAUSE: b"\x22", Code.REPORT: b"x0:nan"})),
-    encode(Message(Kind.RELEASE, 7, {Code.CAUSE: b"\x22", Code.PAUSE: b"9" * 400})),
-    encode(Message(Kind.SET_UP, 7)),
-])
+@pytest.mark.parametrize(
+    "spoilt",
+    [
+        encode(Message(Kind.ANSWER, 7)),  # with no description
+        encode(Message(Kind.RELEASE, 7)),
+        encode(Message(Kind.RELEASE, 7, {Code.CAUSE: b"\x99"})),
+        encode(Message(Kind.RELEASE, 7, {Code.CAUSE: b"\x22", Code.REPORT: b"x0:nan"})),
+        encode(Message(Kind.RELEASE, 7, {Code.CAUSE: b"\x22", Code.PAUSE: b"9" * 400})),
+        encode(Message(Kind.SET_UP, 7)),
+    ],
+)
 def test_a_spoilt_answer_is_judged_before_any_of_it_is_passed_on(rig: Rig, spoilt: bytes) -> None:
     caller = BinaryCaller(rig)
     caller.set_up(7)
@@ -355,8 +361,11 @@
     second.hang_up()
     rig.settle()
     rig.exchange().release(8, Cause.NORMAL)
-    rig.until(lambda: any(each.call == 8 and each.kind == Kind.RELEASE for each in
-                          [*first.messages, *other.messages]))
+    rig.until(
+        lambda: any(
+            each.call == 8 and each.kind == Kind.RELEASE for each in [*first.messages, *other.messages]
+        )
+    )
 
 
 def test_the_end_of_a_call_of_an_earlier_life_reaches_the_callers(rig: Rig) -> None:
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -73,8 +73,7 @@
             deadlines.at(float(when), lambda: ran.append((when, -1)))
 
     for place, (when, drop, more) in enumerate(plan):
-        deadline = deadlines.at(
-            float(when), lambda when=when, place=place, more=more: act(when, place, more))  # type: ignore[misc]
+        deadline = deadlines.at(float(when), lambda when=when, place=place, more=more: act(when, place, more))  # type: ignore[misc]
         if drop:
             deadline.drop()
     deadlines.sweep(20.0)
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -17,20 +17,40 @@
 
 
 def member(name: str, cell: int, phase: str = "SERVING", port: int = 1, born: float = 0) -> dict[str, Any]:
-    return {"id": name, "host_port": f"10.1.0.9:{port}", "locality": "east", "cell": cell, "phase": phase,
-            "up_since_ms": born}
+    return {
+        "id": name,
+        "host_port": f"10.1.0.9:{port}",
+        "locality": "east",
+        "cell": cell,
+        "phase": phase,
+        "up_since_ms": born,
+    }
 
 
 def test_known_events_add_up() -> None:
-    known = {"seq": 3, "results": [
-        {"seq": 1, "fleet": {"complete": True, "members": [member("a", 0), member("b", 1), member("c", 2)]}},
-        {"seq": 2, "fleet": {"complete": False, "members": [member("b", 1, "DRAINING")]}},
-        {"seq": 3, "fleet": {"complete": False, "members": [member("c", 2, "DELETED"),
-                                                            member("d", 2, port=7, born=5.0)]}},
-    ]}
+    known = {
+        "seq": 3,
+        "results": [
+            {
+                "seq": 1,
+                "fleet": {"complete": True, "members": [member("a", 0), member("b", 1), member("c", 2)]},
+            },
+            {"seq": 2, "fleet": {"complete": False, "members": [member("b", 1, "DRAINING")]}},
+            {
+                "seq": 3,
+                "fleet": {
+                    "complete": False,
+                    "members": [member("c", 2, "DELETED"), member("d", 2, port=7, born=5.0)],
+                },
+            },
+        ],
+    }
     held = merged(known_events(known))
     assert {name: entry.exchange.state for name, entry in held.items()} == {
-        "a": State.READY, "b": State.DRAINING, "d": State.READY}
+        "a": State.READY,
+        "b": State.DRAINING,
+        "d": State.READY,
+    }
     assert (held["d"].address, held["d"].exchange.born_ms) == (("10.1.0.9", 7), 5.0)
 
 
@@ -91,7 +111,11 @@
     assert len(service.told) == 1
     entry = service.told[0]["b"]
     assert (entry.address, entry.exchange.cell, entry.exchange.state, entry.exchange.zone) == (
-        ("10.1.0.9", 3868), 1, State.DRAINING, "east")
+        ("10.1.0.9", 3868),
+        1,
+        State.DRAINING,
+        "east",
+    )
     assert entry.exchange.born_ms == 12.0
 
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -102,13 +102,19 @@
         home = {"id": "s-0", "host_port": "127.0.0.1:9", "cell": 0}
         west = {"id": "s-1", "host_port": f"127.0.0.1:{self.exchange.port}", "cell": 1}
         members: list[dict[str, Any]] = [
-            {**each, "locality": "central-belt", "phase": "SERVING"} for each in (home, west)]
+            {**each, "locality": "central-belt", "phase": "SERVING"} for each in (home, west)
+        ]
         known = {"seq": 1, "results": [{"seq": 1, "fleet": {"complete": True, "members": members}}]}
         config = self.config = folder / "config.json"
         self.facts: dict[str, Any] = {
-            "name": "n0", "listen": "127.0.0.1:1", "seed": "8c1f", "known": known,
+            "name": "n0",
+            "listen": "127.0.0.1:1",
+            "seed": "8c1f",
+            "known": known,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "nameserver": f"127.0.0.1:{self.names.port}", "settings": SETTINGS}
+            "nameserver": f"127.0.0.1:{self.names.port}",
+            "settings": SETTINGS,
+        }
         config.write_text(json.dumps(self.facts))
         command = [sys.executable, "-m", "mintvalve"]
         if websocket:
@@ -147,9 +153,17 @@
 
 
 def set_up(caller: Peer, call: int, wait: int = 9000) -> None:
-    caller.send(Kind.SET_UP, call, {
-        Code.CLASS: b"stock-check", Code.WAIT: str(wait).encode(), Code.CALLED: b"7f3a",
-        Code.FIGURES: b"dest:1;width:1;via:-1", Code.DESCRIPTION: b"what the caller says"})
+    caller.send(
+        Kind.SET_UP,
+        call,
+        {
+            Code.CLASS: b"stock-check",
+            Code.WAIT: str(wait).encode(),
+            Code.CALLED: b"7f3a",
+            Code.FIGURES: b"dest:1;width:1;via:-1",
+            Code.DESCRIPTION: b"what the caller says",
+        },
+    )
 
 
 @pytest.fixture
@@ -260,9 +274,22 @@
                 wire.receive_data(sock.recv(65536))
                 for event in wire.events():
                     if isinstance(event, ws.AcceptConnection):
-                        sock.sendall(wire.send(ws.TextMessage(json.dumps({
-                            "type": "set_up", "id": "00000000000000aa", "class": "stock-check", "number": "7",
-                            "wait_ms": 9000, "destination": 1}))))
+                        sock.sendall(
+                            wire.send(
+                                ws.TextMessage(
+                                    json.dumps(
+                                        {
+                                            "type": "set_up",
+                                            "id": "00000000000000aa",
+                                            "class": "stock-check",
+                                            "number": "7",
+                                            "wait_ms": 9000,
+                                            "destination": 1,
+                                        }
+                                    )
+                                )
+                            )
+                        )
                     elif isinstance(event, ws.TextMessage):
                         heard.append(json.loads(event.data))
                 if not heard:
@@ -281,18 +308,28 @@
         program.close()
 
 
-@pytest.mark.parametrize(("text", "said"), [
-    ("{", "can't be used"), ("{}", "can't be used"), ('{"settings": {}}', "settings lack"),
-    (None, "can't be used"),
-])
+@pytest.mark.parametrize(
+    ("text", "said"),
+    [
+        ("{", "can't be used"),
+        ("{}", "can't be used"),
+        ('{"settings": {}}', "settings lack"),
+        (None, "can't be used"),
+    ],
+)
 def test_a_configuration_that_cant_be_used_is_said_in_one_line(
     tmp_path: Path, text: str | None, said: str
 ) -> None:
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
-    done = subprocess.run([sys.executable, "-m", "mintvalve", "--config", str(path)], cwd=ROOT,
-                          capture_output=True, text=True, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "mintvalve", "--config", str(path)],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=False,
+    )
     assert done.returncode == 2 and said in done.stderr and len(done.stderr.splitlines()) == 1
 
 
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -97,17 +97,34 @@
             if transit:
                 self.transit[world.serial] = dest
             number = f"n{rng.randrange(500)}"
-            self.do(CallOffered(world.serial, rng.choice(("plain", "dear")), number, until, dest,
-                                tandem=rng.randrange(1, 4), in_transit=transit))
+            self.do(
+                CallOffered(
+                    world.serial,
+                    rng.choice(("plain", "dear")),
+                    number,
+                    until,
+                    dest,
+                    tandem=rng.randrange(1, 4),
+                    in_transit=transit,
+                )
+            )
         elif kind == 3 and self.out:
             call = rng.choice(list(self.out))
             self.do(CallStands(call, self.out[call][2], self.out[call][0], 40.0))
             self.end(call, rng.choice((Outcome.ENDED, Outcome.RESET)), ended=True)
         elif kind == 4 and self.out:
-            outcome, clearing = rng.choice((
-                (Outcome.NOT_SET_UP, Clearing.TURNED_BACK), (Outcome.NOT_SET_UP, Clearing.PROCESSOR_FULL),
-                (Outcome.NOT_SENT, Clearing.NO_CIRCUIT), (Outcome.UNREACHABLE, 0), (Outcome.RESET, 0),
-                (Outcome.LINE_BUSY, Clearing.NUMBER_BUSY), (Outcome.LINE_BUSY, 0), (Outcome.CANCELLED, 0)))
+            outcome, clearing = rng.choice(
+                (
+                    (Outcome.NOT_SET_UP, Clearing.TURNED_BACK),
+                    (Outcome.NOT_SET_UP, Clearing.PROCESSOR_FULL),
+                    (Outcome.NOT_SENT, Clearing.NO_CIRCUIT),
+                    (Outcome.UNREACHABLE, 0),
+                    (Outcome.RESET, 0),
+                    (Outcome.LINE_BUSY, Clearing.NUMBER_BUSY),
+                    (Outcome.LINE_BUSY, 0),
+                    (Outcome.CANCELLED, 0),
+                )
+            )
             self.end(rng.choice(list(self.out)), outcome, clearing)
         elif kind == 5 and self.open:
             call = rng.choice(list(self.open))
--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -70,8 +70,16 @@
     assert reach.state(TOLD_BY_MS - ON_THE_WAY_MS) is ReachState.LOST
 
 
-@given(st.lists(st.tuples(st.sampled_from(["word", "answered", "up", "refused", "reset"]),
-                          st.floats(0.0, 3000.0), st.floats(0.0, 9000.0)), max_size=40))
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(["word", "answered", "up", "refused", "reset"]),
+            st.floats(0.0, 3000.0),
+            st.floats(0.0, 9000.0),
+        ),
+        max_size=40,
+    )
+)
 @settings(derandomize=True, deadline=None)
 def test_proof_never_goes_back_nor_lies_ahead(steps: list[tuple[str, float, float]]) -> None:
     reach, now = Reach(0.0), 0.0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,7 +3,16 @@
 from dataclasses import replace
 
 from mintvalve.interface import (
-    AttemptEnded, CallerGone, Fail, ListKind, Outcome, Refuse, Repeat, SetUp, State, TimerRang,
+    AttemptEnded,
+    CallerGone,
+    Fail,
+    ListKind,
+    Outcome,
+    Refuse,
+    Repeat,
+    SetUp,
+    State,
+    TimerRang,
 )
 from tests.world import PLAIN, SETTINGS, World, sends
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -7,8 +7,24 @@
 from mintvalve import choice
 from mintvalve.choice import Controller
 from mintvalve.interface import (
-    CallOffered, CallStands, Cancel, Clearing, Event, Exchange, ListKind, ListNews, Outcome, PeerHeard, Probe,
-    Refuse, Report, ReportHeard, Started, State, Tell, TimerRang,
+    CallOffered,
+    CallStands,
+    Cancel,
+    Clearing,
+    Event,
+    Exchange,
+    ListKind,
+    ListNews,
+    Outcome,
+    PeerHeard,
+    Probe,
+    Refuse,
+    Report,
+    ReportHeard,
+    Started,
+    State,
+    Tell,
+    TimerRang,
 )
 from tests.world import SETTINGS, World, sends
 
--- a/tests/test_websocket.py
+++ b/tests/test_websocket.py
@@ -12,8 +12,14 @@
 from mintvalve.net.websocket_front import Options
 from tests.rig import BinaryCaller, Rig, Talker, WebCaller
 
-GOOD = {"type": "set_up", "id": f"{5:016x}", "class": "plain", "number": "n", "wait_ms": 1000,
-        "destination": 1}
+GOOD = {
+    "type": "set_up",
+    "id": f"{5:016x}",
+    "class": "plain",
+    "number": "n",
+    "wait_ms": 1000,
+    "destination": 1,
+}
 
 
 @pytest.fixture
@@ -23,9 +29,14 @@
     rig.close()
 
 
-@pytest.mark.parametrize(("more", "status"), [
-    ({"origin": "http://elsewhere.example"}, 403), ({"origin": ""}, 403), ({"path": "/other"}, 404),
-])
+@pytest.mark.parametrize(
+    ("more", "status"),
+    [
+        ({"origin": "http://elsewhere.example"}, 403),
+        ({"origin": ""}, 403),
+        ({"path": "/other"}, 404),
+    ],
+)
 def test_other_pages_and_paths_are_turned_away(rig: Rig, more: dict[str, str], status: int) -> None:
     caller = WebCaller(rig, **more)
     assert caller.status == status and not caller.accepted
@@ -39,9 +50,13 @@
         self.answer = getattr(self, "answer", b"") + data
 
 
-@pytest.mark.parametrize("text", [
-    b"GET /calls HTTP/1.1\r\nHost: x\r\n\r\n", b"\x16\x03\x01\x02\0\1\0\r\n\r\n",
-])
+@pytest.mark.parametrize(
+    "text",
+    [
+        b"GET /calls HTTP/1.1\r\nHost: x\r\n\r\n",
+        b"\x16\x03\x01\x02\0\1\0\r\n\r\n",
+    ],
+)
 def test_what_is_no_websocket_is_told_so(rig: Rig, text: bytes) -> None:
     talker = Plain(rig, rig.web.listener.address)
     talker.connection.send(text)
@@ -50,18 +65,32 @@
 
 
 ODD: list[tuple[Any, str]] = [
-    ("{", "malformed"), ("[]", "malformed"), ("[" * 5000, "malformed"), ("", "malformed"),
-    ({"type": "dance"}, "unknown_type"), ({}, "unknown_type"), ({"type": ["set_up"]}, "unknown_type"),
-    ({**GOOD, "class": "nobody"}, "unknown_class"), ({**GOOD, "class": 7}, "bad_field"),
-    ({**GOOD, "id": "5"}, "bad_field"), ({**GOOD, "id": "F" * 16}, "bad_field"),
+    ("{", "malformed"),
+    ("[]", "malformed"),
+    ("[" * 5000, "malformed"),
+    ("", "malformed"),
+    ({"type": "dance"}, "unknown_type"),
+    ({}, "unknown_type"),
+    ({"type": ["set_up"]}, "unknown_type"),
+    ({**GOOD, "class": "nobody"}, "unknown_class"),
+    ({**GOOD, "class": 7}, "bad_field"),
+    ({**GOOD, "id": "5"}, "bad_field"),
+    ({**GOOD, "id": "F" * 16}, "bad_field"),
     ({**GOOD, "id": None}, "bad_field"),
-    ({**GOOD, "wait_ms": 0}, "bad_field"), ({**GOOD, "wait_ms": True}, "bad_field"),
-    ({**GOOD, "wait_ms": 1e400}, "bad_field"), ({**GOOD, "destination": "1"}, "bad_field"),
-    ({**GOOD, "number": ""}, "bad_field"), ({**GOOD, "number": "\ud800"}, "bad_field"),
-    ({**GOOD, "number": "n" * 65}, "bad_field"), ({**GOOD, "description": "?"}, "bad_field"),
-    ({**GOOD, "description": 7}, "bad_field"), ({**GOOD, "description": "A" * 20000}, "bad_field"),
-    ({**GOOD, "again": 1}, "bad_field"), ({**GOOD, "number": "n" * 40000}, "too_large"),
-    ({"type": "release", "id": f"{9:016x}"}, "unknown_call"), ({"type": "release"}, "bad_field"),
+    ({**GOOD, "wait_ms": 0}, "bad_field"),
+    ({**GOOD, "wait_ms": True}, "bad_field"),
+    ({**GOOD, "wait_ms": 1e400}, "bad_field"),
+    ({**GOOD, "destination": "1"}, "bad_field"),
+    ({**GOOD, "number": ""}, "bad_field"),
+    ({**GOOD, "number": "\ud800"}, "bad_field"),
+    ({**GOOD, "number": "n" * 65}, "bad_field"),
+    ({**GOOD, "description": "?"}, "bad_field"),
+    ({**GOOD, "description": 7}, "bad_field"),
+    ({**GOOD, "description": "A" * 20000}, "bad_field"),
+    ({**GOOD, "again": 1}, "bad_field"),
+    ({**GOOD, "number": "n" * 40000}, "too_large"),
+    ({"type": "release", "id": f"{9:016x}"}, "unknown_call"),
+    ({"type": "release"}, "bad_field"),
     ({"type": "follow", "id": f"{9:016x}"}, "unknown_call"),
 ]
 
@@ -150,11 +179,16 @@
     assert client.errors == ["unknown_call"] and len(rig.board.calls) == 1
 
 
-@pytest.mark.parametrize(("text", "said"), [
-    ("origins = []", "listen"), ('listen = "h:1"', "origins"), ('listen = "h:1"\norigins = "x"', "origins"),
-    ('listen = "h:1"\norigins = []\nping_ms = 0', "ping_ms"),
-    ('listen = "h:1"\norigins = []\nx = 0', "x no such key"),
-])
+@pytest.mark.parametrize(
+    ("text", "said"),
+    [
+        ("origins = []", "listen"),
+        ('listen = "h:1"', "origins"),
+        ('listen = "h:1"\norigins = "x"', "origins"),
+        ('listen = "h:1"\norigins = []\nping_ms = 0', "ping_ms"),
+        ('listen = "h:1"\norigins = []\nx = 0', "x no such key"),
+    ],
+)
 def test_a_file_that_cant_be_used_is_refused_with_the_key(text: str, said: str) -> None:
     with pytest.raises(ValueError, match=said):
         Options.parse(text)
--- a/tests/world.py
+++ b/tests/world.py
@@ -88,11 +88,28 @@
         return self.do(replace(offer, **more))  # type: ignore[arg-type]
 
     def ended(
-        self, outcome: Outcome, at: int = 1, call: int | None = None, ended: bool = False, clearing: int = 0,
-        report: Report | None = None, attempt: int = 0,
+        self,
+        outcome: Outcome,
+        at: int = 1,
+        call: int | None = None,
+        ended: bool = False,
+        clearing: int = 0,
+        report: Report | None = None,
+        attempt: int = 0,
     ) -> list[Action]:
-        return self.do(AttemptEnded(
-            call or self.serial, attempt, f"x{at}", outcome, 50.0, ended, clearing, 0.0, report or Report()))
+        return self.do(
+            AttemptEnded(
+                call or self.serial,
+                attempt,
+                f"x{at}",
+                outcome,
+                50.0,
+                ended,
+                clearing,
+                0.0,
+                report or Report(),
+            )
+        )
 
 
 def sends(actions: list[Action]) -> list[str]:
