--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -22,10 +22,10 @@
 import click
 
 from mintvalve.cli.bench import resident
-from mintvalve.facade import ModuleDesk
-from mintvalve.interface import Exchange, State
-from mintvalve.net.codec import Cause, Code, Kind, Message, encode
-from tests.rig import RULES, BinaryCaller, Rig, StandIn
+from mintvalve.facade import DecisionFacade
+from mintvalve.interface import Exchange, ExchangeState
+from mintvalve.net.codec import ReleaseCause, ParameterCode, MessageType, Message, encode
+from tests.rig import RULES, BinaryClient, Rig, FakeExchange
 
 QUARTERS = 4
 BATCH = 20  # calls between looks at the clock
@@ -42,16 +42,19 @@
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
         self.rig = rig = Rig(exchanges=CELLS)
-        desk = ModuleDesk(
-            RULES, seed, rig.loop.now, lambda ms, token: rig.loop.after(ms, lambda: rig.board.ring(token))
+        desk = DecisionFacade(
+            RULES,
+            seed,
+            rig.loop.now,
+            lambda ms, token: rig.loop.call_later(ms, lambda: rig.call_manager.on_timer(token)),
         )
-        rig.board.desk = desk
+        rig.call_manager.decision_module = desk
         self.module = desk.controller
-        self.callers: list[BinaryCaller] = []
+        self.callers: list[BinaryClient] = []
         self.names = [f"x{cell}" for cell in range(1, CELLS + 1)]
         self.serial, self.renamed = 0, 0
         self.up: dict[int, int] = {}  # call -> batch in which it ends
-        self.there: dict[int, StandIn] = {}
+        self.there: dict[int, FakeExchange] = {}
         self.untold: set[int] = set()  # ended by their exchange, and no caller has heard
         self.counts: Counter[str] = Counter()
         self.most: Counter[str] = Counter()
@@ -59,24 +62,24 @@
 
     def relist(self) -> None:
         """The list of exchanges, as the name server would tell it."""
-        entries = [Exchange(name, cell, State.READY, "z") for cell, name in enumerate(self.names, 1)]
-        self.rig.board.listed(entries)
-        self.rig.far.listed(
-            {name: stand_in.address for name, stand_in in zip(self.names, self.rig.stand_ins, strict=True)}
+        entries = [Exchange(name, cell, ExchangeState.READY, "z") for cell, name in enumerate(self.names, 1)]
+        self.rig.call_manager.on_exchange_list(entries)
+        self.rig.exchange_links.update_addresses(
+            {name: stand_in.address for name, stand_in in zip(self.names, self.rig.exchanges, strict=True)}
         )
-        for stand_in in self.rig.stand_ins:
+        for stand_in in self.rig.exchanges:
             stand_in.answering = self.answer
 
-    def answer(self, stand_in: StandIn, message: Message) -> None:
+    def answer(self, stand_in: FakeExchange, message: Message) -> None:
         chance = self.random.random()
         if chance < 0.01:
             return  # the answer got lost
         if chance < 0.015:
             stand_in.by_call[message.call].send(b"\xff" * 24)
         elif chance < 0.02:
-            stand_in.by_call[message.call].end("broken off")
+            stand_in.by_call[message.call].close_now("broken off")
         elif chance < 0.05:
-            stand_in.release(message.call, Cause.NO_CIRCUIT, "processor_full")
+            stand_in.release(message.call, ReleaseCause.NO_CIRCUIT, "processor_full")
         else:
             stand_in.answer(message.call)
             self.there[message.call] = stand_in
@@ -85,7 +88,7 @@
         """Some calls come, some end, and something breaks."""
         rig, chance = self.rig, self.random
         while len(self.callers) < 6:
-            self.callers.append(BinaryCaller(rig, acknowledges=chance.random() < 0.8))
+            self.callers.append(BinaryClient(rig, acknowledges=chance.random() < 0.8))
         for _ in range(BATCH):
             self.serial += 1
             caller = chance.choice(self.callers)
@@ -115,17 +118,21 @@
 
     def end_by_exchange(self, call: int) -> None:
         stand_in = self.there.pop(call, None)
-        if stand_in is not None and call in self.rig.board.known and stand_in in self.rig.stand_ins:
-            stand_in.end_call(call, Cause.NORMAL)
+        if (
+            stand_in is not None
+            and call in self.rig.call_manager.by_identity
+            and stand_in in self.rig.exchanges
+        ):
+            stand_in.end_call(call, ReleaseCause.NORMAL)
             self.untold.add(call)
             self.counts["ended by exchanges"] += 1
 
-    def hear(self, caller: BinaryCaller, number: int) -> None:
+    def hear(self, caller: BinaryClient, number: int) -> None:
         for message in caller.messages:
-            if message.kind == Kind.ANSWER:
+            if message.kind == MessageType.ANSWER:
                 self.counts["stood"] += 1
                 self.up[message.call] = number + self.random.randint(1, HOLD)
-            elif message.kind == Kind.RELEASE:
+            elif message.kind == MessageType.RELEASE:
                 self.untold.discard(message.call)
                 self.up.pop(message.call, None)
         caller.messages.clear()
@@ -137,8 +144,8 @@
             self.callers.pop(chance.randrange(len(self.callers))).hang_up()
             self.counts["callers gone"] += 1
         if chance.random() < 0.02:
-            for connection in list(chance.choice(self.rig.stand_ins).decoders):
-                connection.end("closed")
+            for connection in list(chance.choice(self.rig.exchanges).decoders):
+                connection.close_now("closed")
             self.counts["connections closed by exchanges"] += 1
         if number % 50 == 49:
             self.replace(chance.randrange(CELLS), chance.random() < 0.5)
@@ -148,39 +155,43 @@
         self.renamed += 1
         self.counts["exchanges replaced"] += 1
         if not same_address:
-            old = self.rig.stand_ins[place]
+            old = self.rig.exchanges[place]
             old.listener.close()
-            self.rig.stand_ins[place] = StandIn(self.rig.loop, ROOM)
+            self.rig.exchanges[place] = FakeExchange(self.rig.loop, ROOM)
             for connection in list(old.decoders):
-                connection.end("gone")
+                connection.close_now("gone")
         self.names[place] = f"y{self.renamed}"
         self.relist()
 
     def tell_room(self) -> None:
-        for stand_in in self.rig.stand_ins:
+        for stand_in in self.rig.exchanges:
             stand_in.heard.clear()
-            kept = {call: line for call, line in stand_in.by_call.items() if line.open and call in self.there}
+            kept = {
+                call: line for call, line in stand_in.by_call.items() if line.is_open and call in self.there
+            }
             stand_in.by_call = kept
             report = f"x0:{ROOM};x1:{ROOM}".encode()
             for connection in list(stand_in.decoders):
-                connection.send(encode(Message(Kind.GROUP_STATE, 0, {Code.REPORT: report})))
-        self.there = {call: where for call, where in self.there.items() if call in self.rig.board.known}
+                connection.send(encode(Message(MessageType.GROUP_STATE, 0, {ParameterCode.REPORT: report})))
+        self.there = {
+            call: where for call, where in self.there.items() if call in self.rig.call_manager.by_identity
+        }
 
     def tables(self) -> dict[str, int]:
         """Sizes of everything that holds something for a call, an exchange or a connection."""
         rig, module = self.rig, self.module
-        links = list(rig.far.links.values())
+        links = list(rig.exchange_links.links.values())
         ends = [*module.fars.values(), module.own]
         return {
-            "calls": len(rig.board.calls),
-            "ids": len(rig.board.known),
-            "orders": len(rig.board.todo),
-            "flights": sum(len(each.flights) for each in links),
-            "flights by line": sum(len(each.flights.by_way) for each in links),
-            "lines that may answer late": sum(len(each.flights.tainted) for each in links),
+            "calls": len(rig.call_manager.calls),
+            "ids": len(rig.call_manager.by_identity),
+            "orders": len(rig.call_manager.pending_commands),
+            "flights": sum(len(each.attempts) for each in links),
+            "flights by line": sum(len(each.attempts.by_way) for each in links),
+            "lines that may answer late": sum(len(each.attempts.tainted) for each in links),
             "releases to exchanges": sum(len(each.releases) for each in links),
-            "releases to callers": len(rig.front.releases),
-            "callers' open set-ups": sum(len(each.calls) for each in rig.front.talks.values()),
+            "releases to callers": len(rig.binary_front.releases),
+            "callers' open set-ups": sum(len(each.calls) for each in rig.binary_front.sessions.values()),
             "module: calls": len(module.calls),
             "module: held": len(module.held),
             "module: out": sum(len(each.out) for each in ends),
@@ -192,11 +203,11 @@
     def bounded(self) -> dict[str, int]:
         """Tables that never empty, with a bound of their own."""
         return {
-            "exchanges": len(self.rig.board.exchanges),
-            "links": len(self.rig.far.links),
+            "exchanges": len(self.rig.call_manager.exchanges),
+            "links": len(self.rig.exchange_links.links),
             "module: exchanges": len(self.module.fars),
             "deadlines": len(self.rig.loop.deadlines.entries),
-            "calls known to be over": len(self.rig.far.over.calls),
+            "calls known to be over": len(self.rig.exchange_links.ended_calls.calls),
             "module: overdue": sum(len(each.overdue) for each in self.module.fars.values()),
         }
 
@@ -209,12 +220,12 @@
         for call in list(self.up):
             self.end_by_exchange(call)
         for _ in range(80):
-            self.rig.later(1000.0, step=500.0)
+            self.rig.advance(1000.0, step=500.0)
             for caller in self.callers:
                 self.hear(caller, number)
-        for call in list(self.rig.board.known):
+        for call in list(self.rig.call_manager.by_identity):
             self.callers[0].release(call)
-        self.rig.later(40_000.0, step=500.0)
+        self.rig.advance(40_000.0, step=500.0)
         for caller in self.callers:
             self.hear(caller, number)
         self.census()
--- a/mintvalve/__init__.py
+++ b/mintvalve/__init__.py
@@ -1,6 +1,6 @@
 """mintvalve: the decisions of a call controller."""
 
-from mintvalve.choice import Controller
+from mintvalve.controller import Controller
 from mintvalve.interface import Settings
 
 __all__ = ["Controller", "Settings"]
--- a/mintvalve/__main__.py
+++ b/mintvalve/__main__.py
@@ -15,16 +15,16 @@
 from typing import Any
 
 from mintvalve.core.rules import SLACK_MS
-from mintvalve.core.switchboard import Switchboard
-from mintvalve.facade import ModuleDesk
-from mintvalve.interface import ListKind
+from mintvalve.core.call_manager import CallManager
+from mintvalve.facade import DecisionFacade
+from mintvalve.interface import ListUpdateKind
 from mintvalve.lifecycle import Front, Lifecycle
 from mintvalve.net import logs
 from mintvalve.net.binary_front import BinaryFront
-from mintvalve.net.exchanges import Exchanges
+from mintvalve.net.exchange_links import ExchangeLinks
 from mintvalve.net.loop import Loop
 from mintvalve.net.websocket_front import Options, WebSocketFront
-from mintvalve.net.names import Entry, Names, host_port, known_events, merged
+from mintvalve.net.name_server_client import ListedExchange, NameServerClient, host_port, known_events, merged
 from mintvalve.settings import flatten, on_sockets, settings_of
 
 log = logging.getLogger("mintvalve")
@@ -38,26 +38,26 @@
     pairs = flatten(config["settings"])
     settings = on_sockets(settings_of(pairs), SLACK_MS)
     loop = Loop()
-    board = Switchboard(settings, loop)
+    board = CallManager(settings, loop)
     seed = int(str(config["seed"]), 16) if "seed" in config else secrets.randbits(64)
 
     def remind(ms: float, token: int) -> None:
-        loop.after(ms, lambda: board.ring(token))
+        loop.call_later(ms, lambda: board.on_timer(token))
 
-    board.desk = ModuleDesk(settings, seed, loop.now, remind)
+    board.decision_module = DecisionFacade(settings, seed, loop.now, remind)
     dial_ms = float(pairs.get("Limits.DialTimeoutMs", DIAL_MS))
-    exchanges = Exchanges(loop, board, dial_ms, settings.home)
-    board.far = exchanges
+    exchanges = ExchangeLinks(loop, board, dial_ms, settings.home)
+    board.exchange_connections = exchanges
 
-    def tell(held: dict[str, Entry], kind: ListKind = ListKind.FULL) -> None:
-        exchanges.listed(
+    def tell(held: dict[str, ListedExchange], kind: ListUpdateKind = ListUpdateKind.FULL) -> None:
+        exchanges.update_addresses(
             {name: entry.address for name, entry in held.items() if entry.exchange.cell != settings.home}
         )
-        board.listed([entry.exchange for entry in held.values()], kind)
+        board.on_exchange_list([entry.exchange for entry in held.values()], kind)
 
     known = config.get("known", {})
-    tell(merged(known_events(known)), ListKind.CACHED)
-    names = Names(loop, host_port(config["nameserver"]), int(known.get("seq", 0)), tell)
+    tell(merged(known_events(known)), ListUpdateKind.CACHED)
+    names = NameServerClient(loop, host_port(config["nameserver"]), int(known.get("seq", 0)), tell)
     listen = host_port(os.environ.get("PROXY_LISTEN") or config["listen"])
 
     def room(config: dict[str, Any]) -> int:
@@ -84,10 +84,10 @@
         opened: list[Front] = [*binary]
         if websocket is not None:
             opened.append(WebSocketFront(loop, board, websocket, host_port(websocket.listen)))
-        exchanges.strange = binary[0].strange
+        exchanges.on_unknown_release = binary[0].release_unknown_call
         return opened
 
-    return Lifecycle(loop, board, exchanges.joined, fronts, read_again)
+    return Lifecycle(loop, board, exchanges.all_groups_reported, fronts, read_again)
 
 
 def read_file(path: Path) -> dict[str, Any]:
@@ -102,7 +102,7 @@
     32 MB may be all there is."""
     if len(sys.argv) > 1 and not sys.argv[1].startswith("-"):
         try:
-            from mintvalve.cli.verbs import cli
+            from mintvalve.cli.commands import cli
         except ModuleNotFoundError as fault:
             print(f"mintvalve: the verbs need the extra 'tools': {fault.name} is missing", file=sys.stderr)
             return 2
--- a/mintvalve/analysis/plan.py
+++ b/mintvalve/analysis/plan.py
@@ -14,7 +14,7 @@
 from hashlib import blake2b
 
 from mintvalve.analysis.index import Index
-from mintvalve.analysis.times import Timetable
+from mintvalve.analysis.timetables import Timetable
 
 HOPS = 8  # routes that lead on to others by the time of day; more in a row are refused as a plan is read
 SEPARATORS = str.maketrans("", "", " -.()/")  # that people put into numbers
--- a/mintvalve/cli/routes.py
+++ b/mintvalve/cli/routes.py
@@ -15,7 +15,7 @@
 
 from mintvalve.analysis.plan import Analysed, Plan
 from mintvalve.config.faults import Unusable
-from mintvalve.config.numbers import read
+from mintvalve.config.number_tables import read
 
 T = TypeVar("T")
 MASTER = click.Path(path_type=Path, dir_okay=False)
--- a/mintvalve/config/files.py
+++ b/mintvalve/config/files.py
@@ -12,7 +12,7 @@
 from mintvalve.config.applications import Application, Wrong, address, derived, settings_faults
 from mintvalve.config.faults import Fault, Unusable
 from mintvalve.config.inventory import merge, text_of
-from mintvalve.net.names import known_events
+from mintvalve.net.name_server_client import known_events
 from mintvalve.net.websocket_front import Options
 
 CONFIG, WEBSOCKET = "config.json", "websocket.toml"
--- a/mintvalve/config/numbers.py
+++ b/mintvalve/config/number_tables.py
@@ -21,7 +21,7 @@
 
 from mintvalve.analysis.index import LONGEST, SLICE, Builder, Duplicate, finished
 from mintvalve.analysis.plan import HOPS, Alphabet, Cap, Choice, Group, Plan, Range, Rewrite, Route
-from mintvalve.analysis.times import DAY, Span, Timetable, overlaps
+from mintvalve.analysis.timetables import DAY, Span, Timetable, overlaps
 from mintvalve.config.faults import Fault, Unusable
 
 DAYS = ("mon", "tue", "wed", "thu", "fri", "sat", "sun")
--- a/mintvalve/choice.py
+++ b/mintvalve/controller.py
@@ -18,32 +18,32 @@
     Action,
     AttemptEnded,
     CallClass,
-    CallerGone,
+    CallerLeft,
     CallOffered,
-    CallStands,
+    CallAnswered,
     Cancel,
-    Clearing,
+    ClearingCause,
     Event,
     Exchange,
     Fail,
-    ListKind,
-    ListNews,
+    ListUpdateKind,
+    ExchangeListUpdate,
     Log,
     Outcome,
-    PeerHeard,
+    PeerMessageReceived,
     Probe,
     Refuse,
-    Repeat,
-    Report,
-    ReportHeard,
+    RetryPolicy,
+    LoadReport,
+    LoadReported,
     SetTimer,
     Settings,
     SetUp,
     Started,
-    State,
+    ExchangeState,
     Subscribe,
-    Tell,
-    TimerRang,
+    SendPeerMessage,
+    TimerExpired,
 )
 
 CYCLE_MS = 1000.0  # ms; feedback cycle: troubles last ten seconds or so, the design's 2 s is slow
@@ -93,7 +93,7 @@
 KEEP_LINES = 200  # log lines over an instance's life
 
 
-class Gap:
+class CallGap:
     """A call gap: off while T is 0, else a minimum time between first set-ups to one target."""
 
     def __init__(self) -> None:
@@ -131,18 +131,18 @@
         self.retune(now, 1.0 / max(rate, RATE_MIN / 1000.0))
 
 
-class Far:
+class RemoteExchange:
     """What this proxy knows of one exchange's processor and of the own group towards it."""
 
     def __init__(self, entry: Exchange) -> None:
         self.address, self.cell, self.zone = entry.address, entry.cell, entry.zone
         self.title = f"exchange {entry.cell}" if entry.address else "own processor"
-        self.state, self.born = State.READY, entry.born_ms
+        self.state, self.born = ExchangeState.READY, entry.born_ms
         self.free = math.inf  # until told
         self.free_at = -math.inf  # when it was
         self.circuits = 0
-        self.gap = Gap()
-        self.report, self.report_at = Report(), -math.inf
+        self.gap = CallGap()
+        self.report, self.report_at = LoadReport(), -math.inf
         self.delay, self.delay_at = 0.0, -math.inf
         self.sent = self.fulls = self.run = 0
         self.rate = self.full_share = 0.0
@@ -153,7 +153,7 @@
         self.cold_log: deque[float] = deque()
         self.room_map, self.told_map_at = 0, -math.inf  # its proxy's word: bit n, room towards exchange n
 
-    def hear(self, now: float, report: Report) -> None:
+    def hear(self, now: float, report: LoadReport) -> None:
         """Figures of the group (true now) and of the processor (late)."""
         if report.free is not None:
             self.free, self.free_at = report.free, now
@@ -199,7 +199,7 @@
             return RHO_T  # its gap stays; trials are paced by their answers
         # One figure acts once: taken again each cycle, a bad one stretched T to its ceiling, and behind a
         # long T no new one came. Could hurt where figures come seldom: T then drifts down and is set again.
-        fresh = self.report if now - self.report_at < CYCLE_MS else Report()
+        fresh = self.report if now - self.report_at < CYCLE_MS else LoadReport()
         if fresh.utilisation is not None:
             return fresh.utilisation
         lag = self.lag(now, CYCLE_MS)
@@ -216,15 +216,15 @@
         return RHO_T * (self.full_share / FULL_T if self.sent else NO_NEWS)
 
 
-class Number:
+class CalledNumber:
     """A number called: its busy outcomes and offers in this cycle, and its gap."""
 
     def __init__(self) -> None:
         self.busy = self.offers = 0
-        self.gap = Gap()
+        self.gap = CallGap()
 
 
-class Call:
+class CallRecord:
     """A call held or out, until its one final answer."""
 
     def __init__(self, offer: CallOffered, kind: CallClass, began: float, now: float) -> None:
@@ -232,8 +232,8 @@
         self.attempts, self.standing, self.not_before = 0, False, now
         self.tried: set[str] = set()
         self.out: str | None = None
-        self.sent: tuple[float, Far] | None = None  # the latest attempt
-        self.ran: tuple[float, Far] | None = None  # the first that may have run
+        self.sent: tuple[float, RemoteExchange] | None = None  # the latest attempt
+        self.ran: tuple[float, RemoteExchange] | None = None  # the first that may have run
 
 
 class Controller:
@@ -247,18 +247,20 @@
         self.set = settings
         self.random = Random(seed)
         self.kinds = {kind.name: kind for kind in settings.classes}
-        self.fars: dict[str, Far] = {}
-        self.by_cell: dict[int, Far] = {}
+        self.fars: dict[str, RemoteExchange] = {}
+        self.by_cell: dict[int, RemoteExchange] = {}
         self.via: dict[int, str] = {}  # destination -> the tandem over which a call stood last
-        self.tandems: list[Far] = []
+        self.tandems: list[RemoteExchange] = []
         self.turn_ms = 1000.0 * settings.proxies / ASK_RATE - CYCLE_MS / 2  # between probes, or words
         self.turned = int(not settings.pools)  # calls in transit turned back since the last word to the peers
-        self.own = Far(Exchange("", settings.home, State.READY))  # the own processor, seen through its delays
+        self.own = RemoteExchange(
+            Exchange("", settings.home, ExchangeState.READY)
+        )  # the own processor, seen through its delays
         self.full_ends: set[str] = set()  # far ends that said 'full' in this cycle,
         self.good_ends: set[str] = set()  # and those that set a call up
-        self.calls: dict[int, Call] = {}
-        self.held: dict[int, Call] = {}
-        self.numbers: dict[str, Number] = {}
+        self.calls: dict[int, CallRecord] = {}
+        self.held: dict[int, CallRecord] = {}
+        self.numbers: dict[str, CalledNumber] = {}
         self.first_tries: dict[str, float] = {}  # number -> first try of a call that was turned away
         self.longest = max(kind.deadline_ms for kind in settings.classes)
         self.actions: list[Action] = []
@@ -276,14 +278,14 @@
         self.flying: dict[int, float] = {}  # call -> when its set-up went out, oldest first
         self.takers: dict[type, Callable[[Any], None]] = {
             Started: self.on_start,
-            ListNews: self.on_list,
+            ExchangeListUpdate: self.on_list,
             CallOffered: self.on_call,
-            CallStands: self.on_stands,
+            CallAnswered: self.on_stands,
             AttemptEnded: self.on_ended,
-            ReportHeard: self.on_report,
-            TimerRang: self.on_timer,
-            PeerHeard: self.on_peer,
-            CallerGone: lambda gone: self.drop(gone.call),
+            LoadReported: self.on_report,
+            TimerExpired: self.on_timer,
+            PeerMessageReceived: self.on_peer,
+            CallerLeft: lambda gone: self.drop(gone.call),
         }
         self.wait_t = WAIT_T * min((kind.aim_ms for kind in settings.classes if kind.aim_ms > 0), default=1e3)
         self.least_worth = min(kind.worth for kind in settings.classes)
@@ -319,26 +321,33 @@
         self.actions.append(SetTimer(wait, RING_CYCLE))
         self.due = self.now + wait
 
-    def on_list(self, news: ListNews) -> None:
-        if news.kind is ListKind.FAILED:
+    def on_list(self, news: ExchangeListUpdate) -> None:
+        if news.kind is ListUpdateKind.FAILED:
             self.actions.append(SetTimer(CYCLE_MS * (1 + self.random.random()), RING_LIST))
             return
         named = {entry.address for entry in news.exchanges}
         for entry in news.exchanges:
-            far = self.fars.setdefault(entry.address, Far(entry))
+            far = self.fars.setdefault(entry.address, RemoteExchange(entry))
             if entry.born_ms != far.born:  # a new process: what was learnt of the old one is void
                 far.alive(self.now)
-                far.gap, far.delay_at, far.report_at, far.pause_until = Gap(), -math.inf, -math.inf, -math.inf
+                far.gap, far.delay_at, far.report_at, far.pause_until = (
+                    CallGap(),
+                    -math.inf,
+                    -math.inf,
+                    -math.inf,
+                )
                 far.full_share = 0.0
             far.state, far.born, far.cell, far.zone = entry.state, entry.born_ms, entry.cell, entry.zone
-        if news.kind is not ListKind.CHANGES:
+        if news.kind is not ListUpdateKind.CHANGES:
             for address, far in self.fars.items():
-                if address not in named and far.state is State.READY:
-                    far.state = State.GONE
-        self.fars = {each: far for each, far in self.fars.items() if far.state is not State.GONE or far.out}
+                if address not in named and far.state is ExchangeState.READY:
+                    far.state = ExchangeState.GONE
+        self.fars = {
+            each: far for each, far in self.fars.items() if far.state is not ExchangeState.GONE or far.out
+        }
         self.by_cell = {}
         for far in self.fars.values():
-            if far.state is State.READY or far.cell not in self.by_cell:
+            if far.state is ExchangeState.READY or far.cell not in self.by_cell:
                 self.by_cell[far.cell] = far
         self.tandems = [far for far in self.by_cell.values() if far.cell != self.set.home]
 
@@ -353,12 +362,12 @@
         left = offer.deadline_ms - self.now
         usual = self.patience[kind.name] = max(left, self.patience.get(kind.name, left))
         began = min(began, self.now - usual + left) if self.now == self.awake else began
-        call = self.calls[offer.call] = Call(offer, kind, began, self.now)
-        self.numbers.setdefault(offer.number, Number()).offers += 1
+        call = self.calls[offer.call] = CallRecord(offer, kind, began, self.now)
+        self.numbers.setdefault(offer.number, CalledNumber()).offers += 1
         self.offered += not offer.in_transit
         self.decide(call)
 
-    def on_stands(self, event: CallStands) -> None:
+    def on_stands(self, event: CallAnswered) -> None:
         far, call = self.fars.get(event.address), self.calls.get(event.call)
         if far is not None:
             self.word_from(far, event.call)
@@ -395,11 +404,11 @@
                     each.run += each.heard < self.now - event.elapsed_ms
             if direct and outcome is Outcome.RESET and call is not None and call.standing:
                 far.run = SILENT_RUN  # a standing call was cut: redials come before any news
-            if outcome is Outcome.NOT_SENT and clearing == Clearing.PROCESSOR_FULL:
+            if outcome is Outcome.NOT_SENT and clearing == ClearingCause.PROCESSOR_FULL:
                 self.own.run = SILENT_RUN  # the own processor is down
-            if clearing == Clearing.TURNED_BACK_BEYOND_FULL and call is not None:
+            if clearing == ClearingCause.TURNED_BACK_BEYOND_FULL and call is not None:
                 self.on_full(self.by_cell.get(call.offer.destination, far), event.wait_ms)
-            elif clearing == Clearing.PROCESSOR_FULL and outcome is Outcome.NOT_SET_UP:
+            elif clearing == ClearingCause.PROCESSOR_FULL and outcome is Outcome.NOT_SET_UP:
                 self.on_full(far, event.wait_ms)
         if call is None or call.out != event.address:
             return
@@ -407,8 +416,8 @@
         if outcome is Outcome.UNREACHABLE and far is not None and far.free_at < self.now - event.elapsed_ms:
             far.free += call.offer.width  # it took no circuits, and no news of the group will say so
         self.flying.pop(event.call, None)
-        if outcome is Outcome.LINE_BUSY and clearing == Clearing.NUMBER_BUSY and not event.ended:
-            self.numbers.setdefault(call.offer.number, Number()).busy += 1
+        if outcome is Outcome.LINE_BUSY and clearing == ClearingCause.NUMBER_BUSY and not event.ended:
+            self.numbers.setdefault(call.offer.number, CalledNumber()).busy += 1
             self.answer(call)
             return
         if event.ended or call.standing:
@@ -422,7 +431,7 @@
             call.tried.add(event.address)
             if self.via.get(call.offer.destination) == event.address:
                 del self.via[call.offer.destination]  # another tandem next time
-            if clearing == Clearing.TURNED_BACK:
+            if clearing == ClearingCause.TURNED_BACK:
                 self.turned_back(far, call.offer.destination)
         if outcome is Outcome.NOT_SENT:
             call.not_before = max(call.not_before, self.now + POLL_MS)
@@ -431,19 +440,19 @@
             return
         self.decide(call)
 
-    def word_from(self, far: Far, call: int) -> None:
+    def word_from(self, far: RemoteExchange, call: int) -> None:
         """A set-up was answered, and direct ones before it were found lost; the share is that of all ends."""
         self.own.alive(self.now, call)
         passed = [self.calls[each] for each in far.alive(self.now, call) if each in self.calls]
         for was in [1.0 for each in passed if each.offer.destination == far.cell] or [0.0]:
             self.lost += LOST_GAIN * (was - self.lost)
 
-    def turned_back(self, far: Far, to: int) -> None:
+    def turned_back(self, far: RemoteExchange, to: int) -> None:
         """A tandem has no circuit to this destination: for now, or, with each time more likely, never."""
         wait = far.back.get(to, (0.0, BACK_MS / 2))[1] * 2
         far.back[to] = (self.now + min(wait, BACK_MS * BACK_TIMES), min(wait, BACK_MS * BACK_TIMES))
 
-    def on_full(self, far: Far, wait: float) -> None:
+    def on_full(self, far: RemoteExchange, wait: float) -> None:
         """A processor was full: the far one, or the own one, which turns set-ups to every end away alike. The
         own one is meant when in one cycle more ends said 'full' than set a call up (some always are at
         size) and none stood briskly for a cycle: a full processor is quick with nothing. Else slow
@@ -455,7 +464,7 @@
         far.fulls += 1
         far.pause_until = max(far.pause_until, self.now + max(FULL_PAUSE_MS, min(wait, CYCLE_MS)))
 
-    def on_report(self, event: ReportHeard) -> None:
+    def on_report(self, event: LoadReported) -> None:
         far = self.fars.get(event.address)
         if far is not None:
             before = far.free
@@ -467,17 +476,19 @@
         """Tell all peers towards which exchanges this one has circuits to spare for calls in transit."""
         spare = [far for far in self.tandems if far.free > self.allowance(far) and not far.silent(self.now)]
         room = sum(1 << far.cell for far in spare)
-        self.actions.append(Tell(-1, TELL_TAG + room.to_bytes(room.bit_length() // 8 + 1, "little")))
+        self.actions.append(
+            SendPeerMessage(-1, TELL_TAG + room.to_bytes(room.bit_length() // 8 + 1, "little"))
+        )
         self.turned, self.told_at = 0, self.now
 
-    def on_peer(self, event: PeerHeard) -> None:
+    def on_peer(self, event: PeerMessageReceived) -> None:
         """A peer's word on its own groups; messages of another form or sender are passed over."""
         far = self.by_cell.get(event.sender)
         if far is not None and event.content.startswith(TELL_TAG):
             far.room_map = int.from_bytes(event.content[len(TELL_TAG) :], "little")
             far.told_map_at = self.now
 
-    def on_timer(self, event: TimerRang) -> None:
+    def on_timer(self, event: TimerExpired) -> None:
         if event.token == RING_CYCLE:
             self.cycle()
             self.next_cycle(CYCLE_MS)
@@ -534,7 +545,7 @@
             far.full_share += CYCLE_GAIN * (share - far.full_share)
             if far is self.own:
                 self.tune(far, self.calm)
-            elif far.cell != self.set.home and far.state is State.READY:
+            elif far.cell != self.set.home and far.state is ExchangeState.READY:
                 self.tune(far, own)
                 heard = self.set.reports_in_answers and self.now - far.report_at < CYCLE_MS
                 wanted = far.gap.t or (far.sent and not self.set.reports_in_answers)
@@ -562,7 +573,7 @@
             if not gap.t:
                 del self.numbers[name]
 
-    def tune(self, far: Far, own: float) -> None:
+    def tune(self, far: RemoteExchange, own: float) -> None:
         """Engage, retune or take off the gap of one processor."""
         rho = far.rho(self.now, own, self.wait_t)
         if far.gap.t:
@@ -581,22 +592,22 @@
         """Worth for each circuit and second held."""
         return kind.worth / (max(kind.width, 1) * max(kind.holding_ms, 1.0))
 
-    def late(self, call: Call) -> bool:
+    def late(self, call: CallRecord) -> bool:
         """Can't stand in its aim any more, counted from the caller's first try, with the far end's delay."""
         far = self.by_cell.get(call.offer.destination)
         delay = far.lag(self.now, STALE_MS) if far is not None else 0.0
         return self.now + delay - call.began > call.kind.aim_ms
 
-    def pressed(self, call: Call) -> bool:
+    def pressed(self, call: CallRecord) -> bool:
         """Its destination's processor or the own one is gapped: late calls keep off it."""
         return bool(self.own.gap.t or self.by_cell.get(call.offer.destination, self.own).gap.t)
 
-    def allowance(self, far: Far, kind: CallClass | None = None) -> int:
+    def allowance(self, far: RemoteExchange, kind: CallClass | None = None) -> int:
         """Circuits of a group kept for direct calls; a class of more worth per circuit leaves fewer."""
         ratio = self.density(kind) / self.least_density if kind else 1.0
         return round(ALLOWANCE * math.sqrt(max(far.circuits, 1)) / ratio) + 1
 
-    def gate(self, call: Call, far: Far) -> bool:
+    def gate(self, call: CallRecord, far: RemoteExchange) -> bool:
         """May a first set-up go towards this processor now?"""
         if self.now < far.pause_until:
             return False
@@ -619,7 +630,7 @@
         part = min(1.0, most / max(self.usual, 1.0)) ** 2
         return max(1.0, rate * most / 1000.0 * part) if rate else math.inf
 
-    def route(self, call: Call) -> Far | None:
+    def route(self, call: CallRecord) -> RemoteExchange | None:
         """Direct, else the advised tandem, else the freest first leg; each processor's gate is passed."""
         offer = call.offer
         direct = self.by_cell.get(offer.destination)
@@ -642,7 +653,7 @@
         for known in (advised, self.fars.get(self.via.get(offer.destination, ""))):
             if known is not None and self.as_tandem(call, known):
                 return known
-        best: Far | None = None
+        best: RemoteExchange | None = None
         for _ in range(min(LOOKS, len(self.tandems))):
             self.look = (self.look + 1) % len(self.tandems)
             far = self.tandems[self.look]
@@ -650,7 +661,7 @@
                 best = far
         return best
 
-    def as_tandem(self, call: Call, far: Far) -> bool:
+    def as_tandem(self, call: CallRecord, far: RemoteExchange) -> bool:
         """May this call try this tandem, or pool of second choice?"""
         to = call.offer.destination
         foreign = self.set.pools and far.cell not in call.kind.pools
@@ -671,7 +682,7 @@
             and self.allowed(call, far)
         )
 
-    def decide(self, call: Call) -> None:
+    def decide(self, call: CallRecord) -> None:
         """Send, hold or answer."""
         if self.now >= call.offer.deadline_ms - ANSWER_MS:
             self.answer(call)
@@ -700,18 +711,18 @@
         for call in order:
             self.decide(call)
 
-    def answer(self, call: Call) -> None:
+    def answer(self, call: CallRecord) -> None:
         """The one final answer of this side: refused where that is allowed, else failed."""
         self.turned += call.offer.in_transit
         if not call.offer.in_transit and not call.offer.was_cut:
             self.first_tries.setdefault(call.offer.number, call.began)
-        grouped = call.kind.repeat is Repeat.WITHIN_GROUP and call.kind.repeat_group == "all"
-        refusable = call.kind.repeat is Repeat.ALWAYS or call.ran is None or grouped
+        grouped = call.kind.repeat is RetryPolicy.WITHIN_GROUP and call.kind.repeat_group == "all"
+        refusable = call.kind.repeat is RetryPolicy.ALWAYS or call.ran is None or grouped
         name = call.offer.call
         self.actions.append(Refuse(name, self.stay_away(call)) if refusable else Fail(name))
         self.drop(call.offer.call)
 
-    def stay_away(self, call: Call) -> float:
+    def stay_away(self, call: CallRecord) -> float:
         """When another try may fare better: gaps and pauses on its way are over, and, where no circuit was
         free, one has come back by the calls' mean length. Told to callers where the protocol can say it."""
         far = self.by_cell.get(call.offer.destination, self.own)
@@ -730,10 +741,10 @@
         self.held.pop(call_id, None)
         self.flying.pop(call_id, None)
 
-    def cold(self, far: Far) -> bool:
+    def cold(self, far: RemoteExchange) -> bool:
         return far.born > 0 and self.now < far.born + self.set.cold_ms
 
-    def cold_room(self, far: Far) -> bool:
+    def cold_room(self, far: RemoteExchange) -> bool:
         """Own part of the cold budget: by count over the sliding window, or by turns where it is under one.
         In turns, slots of a window each go round by this proxy's number, one set-up a turn; a sliding window
         meets two slots, so a round has twice the slots. All proxies together keep the budget even if a call
@@ -756,7 +767,7 @@
         forgot = part >= 1.0 and self.began > far.born and self.now < self.began + window
         return not forgot and len(far.cold_log) < max(1, int(part))
 
-    def allowed(self, call: Call, far: Far) -> bool:
+    def allowed(self, call: CallRecord, far: RemoteExchange) -> bool:
         """All guards of the rules, for one set-up; nothing is sent past them."""
         offer, kind, ran = call.offer, call.kind, call.ran
         if offer.call not in self.calls or call.out is not None or call.standing:
@@ -766,15 +777,15 @@
         if far.cell == self.set.home or (offer.in_transit and far.cell != offer.destination):
             return False
         for each in (far, self.by_cell.get(offer.destination, far)):  # a tandem call ends there too
-            if each.state is not State.READY or not self.cold_room(each):
+            if each.state is not ExchangeState.READY or not self.cold_room(each):
                 return False
-        if ran is None or kind.repeat is Repeat.ALWAYS:
+        if ran is None or kind.repeat is RetryPolicy.ALWAYS:
             return True
         in_cell = far.cell == ran[1].cell
         same = {"all": True, "zone": far.zone == ran[1].zone}.get(kind.repeat_group, in_cell)
-        return kind.repeat is Repeat.WITHIN_GROUP and same and self.now - ran[0] < kind.repeat_window_ms
+        return kind.repeat is RetryPolicy.WITHIN_GROUP and same and self.now - ran[0] < kind.repeat_window_ms
 
-    def issue(self, call: Call, far: Far) -> bool:
+    def issue(self, call: CallRecord, far: RemoteExchange) -> bool:
         """The only place a set-up leaves from."""
         if not self.allowed(call, far):
             return False
--- a/mintvalve/core/flights.py
+++ b/mintvalve/core/attempts.py
@@ -10,7 +10,7 @@
 from typing import Generic, TypeVar
 
 from mintvalve.core.calls import Attempt, CallState
-from mintvalve.core.nested import take_out
+from mintvalve.core.nested_tables import remove_nested
 
 W = TypeVar("W", bound=Hashable)
 
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Flight(Generic[W]):
+class OutstandingAttempt(Generic[W]):
     """An attempt, from its set-up to the end of the call that it led to."""
 
     attempt: Attempt
@@ -40,49 +40,49 @@
         return self.attempt.call.state is CallState.TRYING
 
 
-class Flights(Generic[W]):
+class AttemptTable(Generic[W]):
     """All at one exchange. An entry ends with its call or attempt (`pop`), or with its way (`lost_with`);
     there are no more than calls open here."""
 
     def __init__(self) -> None:
-        self.all: dict[int, Flight[W]] = {}
-        self.by_way: dict[W, dict[int, Flight[W]]] = {}
+        self.all: dict[int, OutstandingAttempt[W]] = {}
+        self.by_way: dict[W, dict[int, OutstandingAttempt[W]]] = {}
         self.tainted: dict[int, set[W]] = {}  # call -> ways on which an earlier attempt may be answered yet
 
     def __len__(self) -> int:
         return len(self.all)
 
-    def begin(self, attempt: Attempt) -> Flight[W]:
+    def begin(self, attempt: Attempt) -> OutstandingAttempt[W]:
         """A set-up is about to leave."""
         identity = attempt.call.request.identity
         self.pop(identity)
-        flight = self.all[identity] = Flight(attempt)
+        flight = self.all[identity] = OutstandingAttempt(attempt)
         return flight
 
-    def leaves(self, flight: Flight[W], way: W, start: int, reads: int) -> None:
+    def leaves(self, flight: OutstandingAttempt[W], way: W, start: int, reads: int) -> None:
         """Its set-up goes by this way."""
         self.ground(flight)
         flight.way, flight.start, flight.reads = way, start, reads
         self.by_way.setdefault(way, {})[flight.identity] = flight
 
-    def ground(self, flight: Flight[W]) -> None:
+    def ground(self, flight: OutstandingAttempt[W]) -> None:
         """It is bound to no way any more."""
         if flight.way is not None:
-            take_out(self.by_way, flight.way, flight.identity)
+            remove_nested(self.by_way, flight.way, flight.identity)
         flight.way = None
 
-    def pop(self, identity: int) -> Flight[W] | None:
+    def pop(self, identity: int) -> OutstandingAttempt[W] | None:
         """The attempt, or its call, is over; the flight keeps its way for whoever asks where it went."""
         flight = self.all.pop(identity, None)
         if flight is not None and flight.way is not None:
-            take_out(self.by_way, flight.way, identity)
+            remove_nested(self.by_way, flight.way, identity)
         return flight
 
-    def waiting(self) -> list[Flight[W]]:
+    def waiting(self) -> list[OutstandingAttempt[W]]:
         """Set-ups without a connection yet."""
         return [each for each in self.all.values() if each.way is None and each.trying]
 
-    def grounded(self) -> list[Flight[W]]:
+    def grounded(self) -> list[OutstandingAttempt[W]]:
         """Calls that stand and outlived their connection."""
         return [each for each in self.all.values() if each.way is None and each.standing]
 
@@ -106,7 +106,7 @@
         used = self.tainted.get(identity, ())
         return [each for each in ways if each not in used]
 
-    def meant(self, identity: int, way: W, reads: int) -> tuple[Flight[W] | None, bool]:
+    def meant(self, identity: int, way: W, reads: int) -> tuple[OutstandingAttempt[W] | None, bool]:
         """The flight that a word which came by this way, with this read, belongs to; and whether it is one
         of an earlier attempt of a call that is tried again: it came by another way, or before this set-up
         left."""
@@ -115,7 +115,7 @@
             return None, True
         return flight, False
 
-    def lost_with(self, way: W) -> list[Flight[W]]:
+    def lost_with(self, way: W) -> list[OutstandingAttempt[W]]:
         """A way is gone, and with it the set-ups open on it, which are returned; calls that stand go on."""
         over = []
         for flight in list(self.by_way.get(way, {}).values()):
@@ -130,7 +130,7 @@
         return over
 
 
-class Over:
+class EndedCalls:
     """Calls that ended here, the latest ones: whoever still speaks of one is late, not of an earlier life."""
 
     def __init__(self, most: int = OVER_MOST) -> None:
--- a/mintvalve/core/calls.py
+++ b/mintvalve/core/calls.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from mintvalve.interface import Exchange, ListKind, Outcome, Report
+from mintvalve.interface import Exchange, ListUpdateKind, Outcome, LoadReport
 
 if TYPE_CHECKING:
     from mintvalve.core.ports import Caller, Timer
@@ -22,11 +22,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Request:
+class CallRequest:
     """What a caller asks for. `identity` is the id by which callers and exchanges know the call."""
 
     identity: int
-    kind: str
+    call_class: str
     called: str
     wait_ms: float
     destination: int
@@ -54,22 +54,22 @@
     """A call taken by this controller, under its own number."""
 
     number: int
-    request: Request
+    request: CallRequest
     caller: Caller
-    came: float
-    deadline: float
+    accepted_at: float
+    deadline_at: float
     state: CallState = CallState.HELD
     attempt: Attempt | None = None
     attempts: int = 0
     not_before: float = 0.0
-    guard: Timer | None = None
+    deadline_timer: Timer | None = None
 
 
 # What the core tells the desk.
 
 
 @dataclass(frozen=True, slots=True)
-class Stood:
+class AttemptAnswered:
     """An attempt was answered."""
 
     attempt: Attempt
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class AttemptEnded:
     """An attempt is over; `ended` tells whether its call is too."""
 
     attempt: Attempt
@@ -86,40 +86,40 @@
     ended: bool
     clearing: int = 0
     pause_ms: float = 0.0
-    report: Report = field(default_factory=Report)
+    report: LoadReport = field(default_factory=LoadReport)
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
+class CallWithdrawn:
     """The caller is gone, or was answered without the desk."""
 
     call: Call
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
+class GroupStateChanged:
     """The state of the own trunk group towards an exchange."""
 
     exchange: str
-    report: Report
+    report: LoadReport
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class ExchangeListChanged:
     """The list of exchanges, whole or in part."""
 
-    kind: ListKind
+    kind: ListUpdateKind
     exchanges: tuple[Exchange, ...]
 
 
-News = Stood | Ended | Left | Room | Listed
+CallEvent = AttemptAnswered | AttemptEnded | CallWithdrawn | GroupStateChanged | ExchangeListChanged
 
 
 # What the desk wants done.
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class SendSetUp:
     """Send the call's set-up to an exchange."""
 
     call: int
@@ -128,7 +128,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TurnAway:
+class RefuseCall:
     """Final answer: refused; the caller may come back after so long."""
 
     call: int
@@ -136,18 +136,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GiveUp:
+class FailCall:
     """Final answer: failed."""
 
     call: int
 
 
 @dataclass(frozen=True, slots=True)
-class CallOff:
+class CancelAttempt:
     """Wait no longer for an attempt."""
 
     call: int
     attempt: int
 
 
-Order = Send | TurnAway | GiveUp | CallOff
+Command = SendSetUp | RefuseCall | FailCall | CancelAttempt
--- a/mintvalve/core/nested.py
+++ b/mintvalve/core/nested_tables.py
@@ -8,7 +8,7 @@
 N = TypeVar("N")
 
 
-def take_out(table: dict[K, dict[N, Any]], key: K, item: N) -> None:
+def remove_nested(table: dict[K, dict[N, Any]], key: K, item: N) -> None:
     """Remove an item of `table[key]`, and that table with its last one; harmless where it is not there.
     Guards against one empty entry for every connection or host there ever was."""
     there = table.get(key)
--- a/mintvalve/core/reach.py
+++ b/mintvalve/core/reachability.py
@@ -28,7 +28,7 @@
 # passed in a talk with strays, and the look and the way to the caller need the rest
 
 
-class ReachState(Enum):
+class ReachabilityState(Enum):
     """What is believed of an exchange."""
 
     TALKING = "talking"  # proven of late
@@ -36,7 +36,7 @@
     LOST = "lost"  # out of reach for so long that nothing there is held to stand any more
 
 
-class Reach:
+class Reachability:
     """One exchange's. Every method takes the time in Unix milliseconds; it never runs backwards."""
 
     __slots__ = ("proven_at", "was_reset")
@@ -45,15 +45,15 @@
         self.proven_at = now
         self.was_reset = False  # a connection was, and whether the process is there is not known yet
 
-    def state(self, now: float) -> ReachState:
+    def state(self, now: float) -> ReachabilityState:
         silence = now - self.proven_at
         if silence > LOST_MS:
-            return ReachState.LOST
-        return ReachState.ASKING if silence > QUIET_MS else ReachState.TALKING
+            return ReachabilityState.LOST
+        return ReachabilityState.ASKING if silence > QUIET_MS else ReachabilityState.TALKING
 
     def must_dial(self, now: float) -> bool:
         """Only a dial can tell."""
-        return self.was_reset or self.state(now) is not ReachState.TALKING
+        return self.was_reset or self.state(now) is not ReachabilityState.TALKING
 
     def came_up(self, now: float) -> None:
         """A dial came up."""
--- a/mintvalve/core/delivery.py
+++ b/mintvalve/core/release_delivery.py
@@ -26,7 +26,7 @@
 from enum import Enum, IntEnum
 from typing import Generic, Protocol, TypeVar
 
-from mintvalve.core.nested import take_out
+from mintvalve.core.nested_tables import remove_nested
 
 ACK_MS = 300.0  # ms; a side that acknowledges does so by then, else another way is tried
 SURE_MS = 1000.0  # ms; so long a way must have lasted after a release to a side that never acknowledges
@@ -36,38 +36,38 @@
 SLICE = 128  # releases said in one go; the rest waits for the next look, and the loop is not held
 
 
-class Way(Protocol):
+class ReleaseConnection(Protocol):
     """A connection, as far as releases are concerned; compared by identity."""
 
     @property
     def host(self) -> str: ...  # whose it is
 
     @property
-    def open(self) -> bool: ...
+    def is_open(self) -> bool: ...
 
     @property
-    def proven(self) -> bool: ...  # somebody who means it is there: its call stood, or it acknowledged
+    def is_trusted(self) -> bool: ...  # somebody who means it is there: its call stood, or it acknowledged
 
     @property
     def acknowledges(self) -> bool: ...  # it has done so before
 
     @property
-    def spoke_at(self) -> float: ...  # Unix ms, of the last bytes that came
+    def last_data_at(self) -> float: ...  # Unix ms, of the last bytes that came
 
 
-W = TypeVar("W", bound=Way)
-W_say = TypeVar("W_say", bound=Way, contravariant=True)
+W = TypeVar("W", bound=ReleaseConnection)
+W_say = TypeVar("W_say", bound=ReleaseConnection, contravariant=True)
 
 
-class Mouth(Protocol[W_say]):
+class ReleaseWriter(Protocol[W_say]):
     """Whoever writes."""
 
-    def say(self, way: W_say, call: int, cause: int) -> bool:
+    def write_release(self, way: W_say, call: int, cause: int) -> bool:
         """Write a release; False where the way is no longer open, or full."""
         ...
 
 
-class Fit(IntEnum):
+class ConnectionMatch(IntEnum):
     """How well a way fits a release, the best first."""
 
     HOME = 0  # the way of its set-up
@@ -77,13 +77,13 @@
     NONE = 4
 
 
-class Stage(Enum):
+class ReleaseStage(Enum):
     OWED = "owed"
     SAID = "said"
 
 
 @dataclass(slots=True, eq=False)
-class Release(Generic[W]):
+class PendingRelease(Generic[W]):
     """One call's release."""
 
     call: int
@@ -91,31 +91,35 @@
     home: W | None
     host: str  # empty: nobody knows whose it is
     since: float
-    stage: Stage = Stage.OWED
+    stage: ReleaseStage = ReleaseStage.OWED
     says: int = 0
     said_at: float = 0.0
     by: W | None = None  # the way by which it was said last
-    fit: Fit = Fit.NONE  # of the best way by which it was said and that did not end since
+    fit: ConnectionMatch = (
+        ConnectionMatch.NONE
+    )  # of the best way by which it was said and that did not end since
     ever: bool = False  # it was said
     used: tuple[W, ...] = ()
 
     @property
     def met(self) -> bool:
         """Said to whom it is meant for, as far as that is known."""
-        return self.fit in (Fit.HOME, Fit.HOST) or (not self.host and self.fit is Fit.PROVEN)
+        return self.fit in (ConnectionMatch.HOME, ConnectionMatch.HOST) or (
+            not self.host and self.fit is ConnectionMatch.PROVEN
+        )
 
 
-class Deliveries(Generic[W]):
+class ReleaseDelivery(Generic[W]):
     """All releases owed to one side. `ends` counts how they ended. Without `strangers` a release goes to
     nobody but its home and its own host."""
 
-    def __init__(self, mouth: Mouth[W], keep_ms: float, most: int, strangers: bool = True) -> None:
+    def __init__(self, mouth: ReleaseWriter[W], keep_ms: float, most: int, strangers: bool = True) -> None:
         self.mouth, self.keep_ms, self.most, self.strangers = mouth, keep_ms, most, strangers
-        self.all: dict[int, Release[W]] = {}  # by call, the oldest first
-        self.owed: dict[int, Release[W]] = {}  # those not said
-        self.said: dict[int, Release[W]] = {}  # the others, in the order in which they were
-        self.by_host: dict[str, dict[int, Release[W]]] = {}
-        self.by_way: dict[W, dict[int, Release[W]]] = {}  # said by it last
+        self.all: dict[int, PendingRelease[W]] = {}  # by call, the oldest first
+        self.owed: dict[int, PendingRelease[W]] = {}  # those not said
+        self.said: dict[int, PendingRelease[W]] = {}  # the others, in the order in which they were
+        self.by_host: dict[str, dict[int, PendingRelease[W]]] = {}
+        self.by_way: dict[W, dict[int, PendingRelease[W]]] = {}  # said by it last
         self.ways: dict[W, None] = {}  # open, in the order in which they opened
         self.ways_of: dict[str, dict[W, None]] = {}  # the same by host
         self.good: dict[W, None] = {}  # those of them that are proven
@@ -130,10 +134,10 @@
 
     # What happens.
 
-    def owe(self, call: int, cause: int, home: W | None, host: str, now: float) -> None:
+    def enqueue_release(self, call: int, cause: int, home: W | None, host: str, now: float) -> None:
         """A call is over. What was owed for it before is replaced."""
         self.end(call, "replaced")
-        release = Release(call, cause, home, host, now)
+        release = PendingRelease(call, cause, home, host, now)
         self.all[call] = self.owed[call] = release
         self.by_host.setdefault(host, {})[call] = release
         while len(self.all) > self.most:
@@ -142,19 +146,19 @@
         if call in self.all:
             self.tell(release, now)
 
-    def opened(self, way: W, now: float) -> None:
+    def on_connection_opened(self, way: W, now: float) -> None:
         """A connection came up: what is owed to its host goes out by it."""
         self.ways[way] = None
         self.ways_of.setdefault(way.host, {})[way] = None
         self.left = SLICE
         for release in list(self.by_host.get(way.host, {}).values()) if way.host else []:
             # One said before is said again where it was not heard, or only by another host.
-            if release.stage is Stage.OWED or not release.met or self.unheard(release, now):
+            if release.stage is ReleaseStage.OWED or not release.met or self.unheard(release, now):
                 self.by(release, way, now)
-        if way.proven:
-            self.proved(way, now)
+        if way.is_trusted:
+            self.on_connection_trusted(way, now)
 
-    def rehome(self, call: int, way: W, now: float) -> bool:
+    def redirect(self, call: int, way: W, now: float) -> bool:
         """Whom it is meant for has come back by this way; False where nothing is owed for the call."""
         release = self.all.get(call)
         if release is None:
@@ -163,7 +167,7 @@
         self.by(release, way, now)
         return True
 
-    def proved(self, way: W, now: float) -> None:
+    def on_connection_trusted(self, way: W, now: float) -> None:
         """Somebody who means it is there: what found no other way may go by this one."""
         self.good[way] = None
         self.left = SLICE
@@ -172,7 +176,7 @@
                 break
             self.by(release, way, now)
 
-    def heard(self, call: int) -> bool:
+    def on_acknowledged(self, call: int) -> bool:
         """The other side acknowledged it; False where nothing was said."""
         release = self.all.get(call)
         if release is None or not release.ever:
@@ -181,19 +185,19 @@
             self.end(call, "heard")
         else:  # by another host; its own is told, too, should it come
             self.unplace(release)
-            release.stage, release.by = Stage.SAID, None
+            release.stage, release.by = ReleaseStage.SAID, None
         return True
 
-    def closed(self, way: W, now: float) -> None:
+    def on_connection_closed(self, way: W, now: float) -> None:
         """A connection is gone, and what was said by it may not have been heard."""
         self.ways.pop(way, None)
         self.good.pop(way, None)
-        take_out(self.ways_of, way.host, way)
+        remove_nested(self.ways_of, way.host, way)
         lost = self.by_way.pop(way, {})
         self.left = SLICE
         for release in list(lost.values()):
             self.said.pop(release.call, None)
-            release.stage, release.by, release.fit = Stage.OWED, None, Fit.NONE
+            release.stage, release.by, release.fit = ReleaseStage.OWED, None, ConnectionMatch.NONE
             release.says -= 1  # in vain: that is no reason to say it less often to others
             release.used = tuple(each for each in release.used if each is not way)
             self.owed[release.call] = release
@@ -205,13 +209,13 @@
             release = next(iter(self.all.values()))
             if now - release.since < self.keep_ms:
                 break
-            self.end(release.call, "late" if release.stage is Stage.OWED else "unsure")
+            self.end(release.call, "late" if release.stage is ReleaseStage.OWED else "unsure")
         self.left = SLICE
         for release in list(self.said.values()):
             if now - release.said_at < ACK_MS or not self.left:
                 break
             way = release.by
-            works = way is not None and way.open and way.spoke_at > release.said_at
+            works = way is not None and way.is_open and way.last_data_at > release.said_at
             if (
                 works
                 and way is not None
@@ -229,41 +233,41 @@
 
     # What is done.
 
-    def unheard(self, release: Release[W], now: float) -> bool:
+    def unheard(self, release: PendingRelease[W], now: float) -> bool:
         """It was said some time ago, and nothing shows that it came through."""
         way = release.by
-        if release.stage is not Stage.SAID or way is None or now - release.said_at < ACK_MS:
+        if release.stage is not ReleaseStage.SAID or way is None or now - release.said_at < ACK_MS:
             return False
-        return way.acknowledges or not way.open or way.spoke_at <= release.said_at
+        return way.acknowledges or not way.is_open or way.last_data_at <= release.said_at
 
-    def fits(self, release: Release[W], way: W, now: float) -> Fit:
-        if way in release.used or not way.open:
-            return Fit.NONE
+    def fits(self, release: PendingRelease[W], way: W, now: float) -> ConnectionMatch:
+        if way in release.used or not way.is_open:
+            return ConnectionMatch.NONE
         if way is release.home:
-            return Fit.HOME
+            return ConnectionMatch.HOME
         if release.host and way.host == release.host:
-            return Fit.HOST
+            return ConnectionMatch.HOST
         if not self.strangers:
-            return Fit.NONE
-        if way.proven:
-            return Fit.PROVEN
-        return Fit.ANY if now - release.since >= MEANT_MS else Fit.NONE
+            return ConnectionMatch.NONE
+        if way.is_trusted:
+            return ConnectionMatch.PROVEN
+        return ConnectionMatch.ANY if now - release.since >= MEANT_MS else ConnectionMatch.NONE
 
-    def tell(self, release: Release[W], now: float) -> None:
+    def tell(self, release: PendingRelease[W], now: float) -> None:
         """By the way that fits best, if any; one said to whom it is meant for only to the same again."""
         if release.says >= MOST_SAYS or not self.left:
             return
-        again = release.stage is Stage.SAID and release.met
+        again = release.stage is ReleaseStage.SAID and release.met
         tries = 0
         for way in self.candidates(release, now, again):
-            if self.fits(release, way, now) is not Fit.NONE:
+            if self.fits(release, way, now) is not ConnectionMatch.NONE:
                 if self.by(release, way, now):
                     return
                 tries += 1  # it is full, or has just ended
                 if tries >= MOST_SAYS:
                     return
 
-    def candidates(self, release: Release[W], now: float, near: bool) -> Iterator[W]:
+    def candidates(self, release: PendingRelease[W], now: float, near: bool) -> Iterator[W]:
         """Ways, those that fit best first, the newest of a kind first; with `near` those of its own host."""
         if release.home is not None:
             yield release.home
@@ -274,28 +278,28 @@
             if now - release.since >= MEANT_MS:
                 yield from reversed(self.ways)
 
-    def by(self, release: Release[W], way: W, now: float) -> bool:
+    def by(self, release: PendingRelease[W], way: W, now: float) -> bool:
         """Say it by this way, if it fits."""
         fit = self.fits(release, way, now)
-        if fit is Fit.NONE or release.says >= MOST_SAYS or not self.left:
+        if fit is ConnectionMatch.NONE or release.says >= MOST_SAYS or not self.left:
             return False
-        if not self.mouth.say(way, release.call, release.cause):
+        if not self.mouth.write_release(way, release.call, release.cause):
             return False
         self.left -= 1
         self.unplace(release)
         release.says += 1
-        release.stage, release.said_at, release.by, release.ever = Stage.SAID, now, way, True
+        release.stage, release.said_at, release.by, release.ever = ReleaseStage.SAID, now, way, True
         release.fit = min(fit, release.fit)
         release.used = (*release.used, way)
         self.said[release.call] = release
         self.by_way.setdefault(way, {})[release.call] = release
         return True
 
-    def unplace(self, release: Release[W]) -> None:
+    def unplace(self, release: PendingRelease[W]) -> None:
         self.owed.pop(release.call, None)
         self.said.pop(release.call, None)
         if release.by is not None:
-            take_out(self.by_way, release.by, release.call)
+            remove_nested(self.by_way, release.by, release.call)
 
     def end(self, call: int, how: str) -> None:
         release = self.all.pop(call, None)
@@ -303,9 +307,9 @@
             return
         self.ends[how] = self.ends.get(how, 0) + 1
         self.unplace(release)
-        take_out(self.by_host, release.host, call)
+        remove_nested(self.by_host, release.host, call)
 
-    def pending(self) -> bool:
+    def has_deliverable(self) -> bool:
         """Something was said and its acknowledgement may be under way, or may still be said."""
         waits = (each.by for each in self.said.values())
-        return bool(self.owed and self.ways) or any(by and by.open and by.acknowledges for by in waits)
+        return bool(self.owed and self.ways) or any(by and by.is_open and by.acknowledges for by in waits)
--- a/mintvalve/core/rules.py
+++ b/mintvalve/core/rules.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from mintvalve.core.calls import Call, CallState, Request
-from mintvalve.interface import Exchange, Outcome, Settings, State
+from mintvalve.core.calls import Call, CallState, CallRequest
+from mintvalve.interface import Exchange, Outcome, Settings, ExchangeState
 
 SLACK_MS = 50.0  # ms; on sockets every time limit is that much longer
 MARGIN_MS = 15.0  # ms; a call is answered so long before its caller gives up: the way back takes time, too
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class SetUpRules:
     """The figures of the rules, and the checks."""
 
     home: int
@@ -24,11 +24,11 @@
     cells: int = 0  # exchanges are numbered below this; 0: not known
 
     @classmethod
-    def of(cls, settings: Settings) -> Rules:
+    def of(cls, settings: Settings) -> SetUpRules:
         cells = 0 if settings.pools else settings.proxies
         return cls(settings.home, settings.max_attempts, settings.release_wait_ms, cells)
 
-    def out_of_range(self, request: Request) -> str:
+    def out_of_range(self, request: CallRequest) -> str:
         """What no call can ask for; empty where all is well. Guards the desk and the exchanges against
         figures that mean nothing: a width below 1 would even add to the circuits believed free."""
         if request.identity == 0:
@@ -49,9 +49,9 @@
             return "the call has had all its attempts"
         if now < call.not_before:
             return "what the last attempt held may still be taken"
-        if now >= call.deadline:
+        if now >= call.deadline_at:
             return "the caller has given up"
-        if exchange is None or exchange.state is not State.READY:
+        if exchange is None or exchange.state is not ExchangeState.READY:
             return "the exchange drains or is gone"
         if exchange.cell == self.home:
             return "a call never goes to the own exchange"
--- a/mintvalve/facade.py
+++ b/mintvalve/facade.py
@@ -9,27 +9,27 @@
 from collections.abc import Callable
 
 from mintvalve import interface as io
-from mintvalve.choice import Controller
+from mintvalve.controller import Controller
 from mintvalve.core.calls import (
     Call,
-    CallOff,
-    Ended,
-    GiveUp,
-    Left,
-    Listed,
-    News,
-    Order,
-    Room,
-    Send,
-    Stood,
-    TurnAway,
+    CancelAttempt,
+    AttemptEnded,
+    FailCall,
+    CallWithdrawn,
+    ExchangeListChanged,
+    CallEvent,
+    Command,
+    GroupStateChanged,
+    SendSetUp,
+    AttemptAnswered,
+    RefuseCall,
 )
 
 log = logging.getLogger("mintvalve.desk")
 REARM_MS = 1000.0  # ms; a timer on whose ring the module failed rings again after this
 
 
-class ModuleDesk:
+class DecisionFacade:
     """One controller of the decision module, its clock and its timers."""
 
     def __init__(
@@ -41,17 +41,17 @@
     ) -> None:
         self.controller = Controller(settings, seed)
         self.now, self.remind = now, remind
-        self.hand(io.Started())
+        self.dispatch(io.Started())
 
-    def pick(self, call: Call) -> list[Order]:
+    def pick(self, call: Call) -> list[Command]:
         """What to do with a call that was just taken; no order means that it is held."""
         ask = call.request
-        return self.hand(
+        return self.dispatch(
             io.CallOffered(
                 call.number,
-                ask.kind,
+                ask.call_class,
                 ask.called,
-                call.deadline,
+                call.deadline_at,
                 ask.destination,
                 ask.width,
                 ask.tandem,
@@ -61,15 +61,15 @@
             call.number,
         )
 
-    def report(self, news: News) -> list[Order]:
+    def report(self, news: CallEvent) -> list[Command]:
         """What follows from news."""
         match news:
-            case Stood(attempt, elapsed):
+            case AttemptAnswered(attempt, elapsed):
                 number = attempt.call.number
-                return self.hand(io.CallStands(number, attempt.index, attempt.exchange, elapsed))
-            case Ended(attempt, outcome, elapsed, ended, clearing, pause, report):
+                return self.dispatch(io.CallAnswered(number, attempt.index, attempt.exchange, elapsed))
+            case AttemptEnded(attempt, outcome, elapsed, ended, clearing, pause, report):
                 number = attempt.call.number
-                return self.hand(
+                return self.dispatch(
                     io.AttemptEnded(
                         number,
                         attempt.index,
@@ -83,18 +83,18 @@
                     ),
                     None if ended else number,
                 )
-            case Left(call):
-                return self.hand(io.CallerGone(call.number))
-            case Room(exchange, report):
-                return self.hand(io.ReportHeard(exchange, True, False, report))
-            case Listed(kind, exchanges):
-                return self.hand(io.ListNews(kind, exchanges))
+            case CallWithdrawn(call):
+                return self.dispatch(io.CallerLeft(call.number))
+            case GroupStateChanged(exchange, report):
+                return self.dispatch(io.LoadReported(exchange, True, False, report))
+            case ExchangeListChanged(kind, exchanges):
+                return self.dispatch(io.ExchangeListUpdate(kind, exchanges))
 
-    def tick(self, token: int) -> list[Order]:
+    def tick(self, token: int) -> list[Command]:
         """A timer of the module came due."""
-        return self.hand(io.TimerRang(token), token=token)
+        return self.dispatch(io.TimerExpired(token), token=token)
 
-    def hand(self, event: io.Event, call: int | None = None, token: int | None = None) -> list[Order]:
+    def dispatch(self, event: io.Event, call: int | None = None, token: int | None = None) -> list[Command]:
         """One event; if the module fails on it, its call is given up and its timer goes on."""
         try:
             actions = self.controller.handle(self.now(), event)
@@ -102,18 +102,18 @@
             log.exception("the decision module failed", extra={"event": type(event).__name__})
             if token is not None:
                 self.remind(REARM_MS, token)
-            return [] if call is None else [GiveUp(call)]
-        orders: list[Order] = []
+            return [] if call is None else [FailCall(call)]
+        orders: list[Command] = []
         for action in actions:
             match action:
                 case io.SetUp(number, exchange, wait):
-                    orders.append(Send(number, exchange, wait))
+                    orders.append(SendSetUp(number, exchange, wait))
                 case io.Refuse(number, stay_away):
-                    orders.append(TurnAway(number, stay_away))
+                    orders.append(RefuseCall(number, stay_away))
                 case io.Fail(number):
-                    orders.append(GiveUp(number))
+                    orders.append(FailCall(number))
                 case io.Cancel(number, attempt):
-                    orders.append(CallOff(number, attempt))
+                    orders.append(CancelAttempt(number, attempt))
                 case io.SetTimer(after, name):
                     self.remind(after, name)
                 case io.Log(text):
--- a/mintvalve/interface.py
+++ b/mintvalve/interface.py
@@ -1,6 +1,6 @@
 """What a host and a call controller say to each other: settings, events, actions, outcomes.
 
-The host (a signalling proxy) owns one `mintvalve.choice.Controller` per proxy. It hands in one event
+The host (a signalling proxy) owns one `mintvalve.controller.Controller` per proxy. It hands in one event
 at a time with the clock, and carries out the returned actions in order.
 
 Who owes what to whom:
@@ -20,7 +20,7 @@
 from enum import Enum, IntEnum
 
 
-class State(Enum):
+class ExchangeState(Enum):
     """What the server list says of an exchange's processor."""
 
     READY = "ready"
@@ -41,7 +41,7 @@
     NOT_SENT = "not sent"  # no circuit, own processor down, call over, or attempts used up
 
 
-class Clearing(IntEnum):
+class ClearingCause(IntEnum):
     """Why an attempt was not set up, where the outcome says so."""
 
     NONE = 0
@@ -52,7 +52,7 @@
     TURNED_BACK_BEYOND_FULL = 18  # the processor beyond the tandem was full
 
 
-class Repeat(Enum):
+class RetryPolicy(Enum):
     """When a class of call may be tried again."""
 
     ALWAYS = "always"
@@ -71,7 +71,7 @@
     late_worth: float = 0.0
     width: int = 1  # circuits it takes on each group
     holding_ms: float = 10_000.0  # mean length of a call
-    repeat: Repeat = Repeat.ALWAYS
+    repeat: RetryPolicy = RetryPolicy.ALWAYS
     repeat_group: str = "all"  # all, zone or cell
     repeat_window_ms: float = 0.0
     pools: tuple[int, ...] = ()  # pools it may go to (pool topology)
@@ -110,7 +110,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
+class LoadReport:
     """Figures of the trunk group to an exchange (true now) and of its processor (late); None: not told."""
 
     free: int | None = None
@@ -129,12 +129,12 @@
 
     address: str
     cell: int
-    state: State
+    state: ExchangeState
     zone: str = ""
     born_ms: float = 0.0  # last start, 0: long ago
 
 
-class ListKind(Enum):
+class ListUpdateKind(Enum):
     """Changes to the list held, the whole list, the list as it was held last, or a failed request for it."""
 
     CHANGES = "changes"
@@ -144,10 +144,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ListNews:
+class ExchangeListUpdate:
     """The server list's news for this proxy."""
 
-    kind: ListKind
+    kind: ListUpdateKind
     exchanges: tuple[Exchange, ...] = ()
 
 
@@ -168,7 +168,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallStands:
+class CallAnswered:
     """An attempt succeeded: the call stands."""
 
     call: int
@@ -189,21 +189,21 @@
     ended: bool
     clearing: int = 0
     wait_ms: float = 0.0  # how long a full processor asks to stay away
-    report: Report = field(default_factory=Report)
+    report: LoadReport = field(default_factory=LoadReport)
 
 
 @dataclass(frozen=True, slots=True)
-class ReportHeard:
+class LoadReported:
     """The answer to a probe, or (`answered` unset) unasked news of the own group to an exchange."""
 
     address: str
     ok: bool
     answered: bool
-    report: Report = field(default_factory=Report)
+    report: LoadReport = field(default_factory=LoadReport)
 
 
 @dataclass(frozen=True, slots=True)
-class PeerHeard:
+class PeerMessageReceived:
     """A message from another proxy."""
 
     sender: int
@@ -211,14 +211,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TimerRang:
+class TimerExpired:
     """A timer has come due."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class CallerGone:
+class CallerLeft:
     """The caller left; nothing more is owed for the call."""
 
     call: int
@@ -231,14 +231,14 @@
 
 Event = (
     Started
-    | ListNews
+    | ExchangeListUpdate
     | CallOffered
-    | CallStands
+    | CallAnswered
     | AttemptEnded
-    | ReportHeard
-    | PeerHeard
-    | TimerRang
-    | CallerGone
+    | LoadReported
+    | PeerMessageReceived
+    | TimerExpired
+    | CallerLeft
 )
 
 
@@ -290,7 +290,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendPeerMessage:
     """Send bytes to another proxy, or to all (peer -1)."""
 
     peer: int
@@ -309,4 +309,4 @@
     text: str
 
 
-Action = SetUp | Refuse | Fail | Cancel | SetTimer | Probe | Tell | Subscribe | Log
+Action = SetUp | Refuse | Fail | Cancel | SetTimer | Probe | SendPeerMessage | Subscribe | Log
--- a/mintvalve/lifecycle.py
+++ b/mintvalve/lifecycle.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from typing import Protocol
 
-from mintvalve.core.switchboard import Switchboard
+from mintvalve.core.call_manager import CallManager
 from mintvalve.net.loop import READ, Loop
 
 log = logging.getLogger("mintvalve.lifecycle")
@@ -49,11 +49,11 @@
 class Front(Protocol):
     """What the lifecycle needs of a front."""
 
-    def close(self) -> None: ...
+    def stop_accepting(self) -> None: ...
 
-    def shut(self) -> None: ...
+    def close_sessions(self) -> None: ...
 
-    def owes(self) -> bool: ...
+    def has_pending_releases(self) -> bool: ...
 
 
 class Lifecycle:
@@ -62,7 +62,7 @@
     def __init__(
         self,
         loop: Loop,
-        switchboard: Switchboard,
+        switchboard: CallManager,
         joined: Callable[[], bool],
         open_fronts: Callable[[], list[Front]],
         read_again: Callable[[], None],
@@ -78,14 +78,14 @@
         if phase not in NEXT[self.phase]:
             raise RuntimeError(f"no way from {self.phase.value} to {phase.value}")
         self.phase = phase
-        log.info("phase", extra={"phase": phase.value, "open": self.switchboard.open})
+        log.info("phase", extra={"phase": phase.value, "open": self.switchboard.unanswered_calls})
 
     def run(self) -> None:
         """From start to exit."""
         self.catch(signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
         self.enter(Phase.JOINING)
         self.join_until = self.loop.now() + JOIN_MS
-        self.loop.soon(self.join)
+        self.loop.call_soon(self.join)
         self.loop.run()
 
     def catch(self, *signals: int) -> None:
@@ -112,7 +112,7 @@
         if self.joined() or self.loop.now() >= self.join_until:
             self.serve()
         else:
-            self.loop.after(LOOK_MS, self.join)
+            self.loop.call_later(LOOK_MS, self.join)
 
     def serve(self) -> None:
         try:
@@ -144,31 +144,31 @@
         """Told to end."""
         if self.phase is Phase.JOINING or self.phase is Phase.SERVING:
             self.enter(Phase.DRAINING)
-            self.loop.after(GRACE_MS, self.linger)
-            self.loop.after(LAST_MS, self.close)
-            self.loop.after(EXIT_MS, self.end)
+            self.loop.call_later(GRACE_MS, self.linger)
+            self.loop.call_later(LAST_MS, self.close)
+            self.loop.call_later(EXIT_MS, self.end)
 
     def linger(self) -> None:
         self.enter(Phase.LINGERING)
         for front in self.fronts:
-            front.close()
+            front.stop_accepting()
         self.end_if_idle()
 
     def end_if_idle(self) -> None:
         """Nothing is owed, nothing stands, and every caller that can has heard: no need to wait."""
         if self.phase is Phase.LINGERING:
-            if not self.switchboard.calls and not any(front.owes() for front in self.fronts):
+            if not self.switchboard.calls and not any(front.has_pending_releases() for front in self.fronts):
                 self.close()
-                self.loop.after(LOOK_MS, self.end)
+                self.loop.call_later(LOOK_MS, self.end)
             else:
-                self.loop.after(LOOK_MS, self.end_if_idle)
+                self.loop.call_later(LOOK_MS, self.end_if_idle)
 
     def close(self) -> None:
         if self.phase is Phase.LINGERING:
             self.enter(Phase.CLOSING)
-            self.switchboard.turn_all_away()
+            self.switchboard.refuse_open_calls()
             for front in self.fronts:
-                front.shut()
+                front.close_sessions()
 
     def end(self) -> None:
         if self.phase is Phase.CLOSING:
--- a/mintvalve/net/binary_front.py
+++ b/mintvalve/net/binary_front.py
@@ -7,22 +7,22 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from mintvalve.core.calls import Call, CallState, Request
-from mintvalve.core.switchboard import Switchboard, Unacceptable
+from mintvalve.core.calls import Call, CallState, CallRequest
+from mintvalve.core.call_manager import CallManager, SetUpRejected
 from mintvalve.net.codec import (
     FROM_CALLERS,
-    BadBytes,
-    Cause,
-    Code,
+    ProtocolError,
+    ReleaseCause,
+    ParameterCode,
     Decoder,
-    Kind,
+    MessageType,
     Message,
     encode,
     release,
     whole,
 )
 from mintvalve.net.connection import Connection, Listener
-from mintvalve.net.courier import Courier
+from mintvalve.net.release_scheduler import ReleaseScheduler
 from mintvalve.net.loop import Loop
 
 log = logging.getLogger("mintvalve.front.binary")
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Talk:
+class BinarySession:
     """One caller's connection."""
 
     connection: Connection
@@ -44,46 +44,50 @@
     standing: int = 0  # calls set up on it that stand
     served: bool = False  # a call that it brought stood
     acknowledges: bool = False  # it has acknowledged a release
-    spoke_at: float = -math.inf
+    last_data_at: float = -math.inf
     faults: int = 0  # set-ups in a row that could not be taken
 
     @property
-    def open(self) -> bool:
-        return self.connection.open
+    def is_open(self) -> bool:
+        return self.connection.is_open
 
     @property
-    def proven(self) -> bool:
+    def is_trusted(self) -> bool:
         """Guards against telling a release to a client that means nothing by its connection: on a day of bad
         clients most connections are of that kind."""
         return self.served or self.acknowledges
 
     def send(self, data: bytes) -> bool:
         """A caller that leaves a whole buffer unread is cut off: with a gap it would hear nothing true."""
-        if self.connection.open and not self.connection.send(data):
-            self.connection.end("the caller does not read")
-        return self.connection.open
+        if self.connection.is_open and not self.connection.send(data):
+            self.connection.close_now("the caller does not read")
+        return self.connection.is_open
 
 
-def request_from(message: Message) -> Request:
+def request_from(message: Message) -> CallRequest:
     """A set-up as a request; BadBytes where it can't be read."""
-    if not message.call or not message.text(Code.CLASS) or not message.text(Code.CALLED).isprintable():
-        raise BadBytes("a set-up without an id, a class or a number that can be read")
-    figures = message.fields(Code.FIGURES)
+    if (
+        not message.call
+        or not message.text(ParameterCode.CLASS)
+        or not message.text(ParameterCode.CALLED).isprintable()
+    ):
+        raise ProtocolError("a set-up without an id, a class or a number that can be read")
+    figures = message.fields(ParameterCode.FIGURES)
     dest, width, via = (
         whole(figures.get(name, default), name)
         for name, default in (("dest", ""), ("width", "1"), ("via", "-1"))
     )
-    return Request(
+    return CallRequest(
         identity=message.call,
-        kind=message.text(Code.CLASS),
-        called=message.text(Code.CALLED),
-        wait_ms=float(message.whole(Code.WAIT, 0)),
+        call_class=message.text(ParameterCode.CLASS),
+        called=message.text(ParameterCode.CALLED),
+        wait_ms=float(message.whole(ParameterCode.WAIT, 0)),
         destination=dest,
         width=width,
         tandem=via,
         in_transit=figures.get("transit", "0") == "1",
         was_cut=figures.get("again", "0") == "1",
-        description=message.parameters.get(Code.DESCRIPTION),
+        description=message.parameters.get(ParameterCode.DESCRIPTION),
     )
 
 
@@ -93,176 +97,176 @@
     def __init__(
         self,
         loop: Loop,
-        switchboard: Switchboard,
+        switchboard: CallManager,
         address: tuple[str, int],
         room: int,
         unknown: Callable[[int], None],
     ) -> None:
         self.loop, self.switchboard, self.unknown = loop, switchboard, unknown
-        self.talks: dict[Connection, Talk] = {}
-        self.releases: Courier[Talk] = Courier(loop, self, KEEP_MS, RELEASES_MOST)
+        self.sessions: dict[Connection, BinarySession] = {}
+        self.releases: ReleaseScheduler[BinarySession] = ReleaseScheduler(loop, self, KEEP_MS, RELEASES_MOST)
         self.serving = True
         self.listener = Listener(loop, *address, self, room, MOST_UNREAD)
 
     # Connections.
 
-    def opened(self, connection: Connection) -> None:
+    def on_opened(self, connection: Connection) -> None:
         try:
             host = connection.sock.getpeername()[0]
         except OSError:
             host = ""
-        talk = self.talks[connection] = Talk(connection, host)
-        self.releases.opened(talk)
+        talk = self.sessions[connection] = BinarySession(connection, host)
+        self.releases.on_connection_opened(talk)
 
-    def closed(self, connection: Connection, reason: str) -> None:
+    def on_closed(self, connection: Connection, reason: str) -> None:
         self.listener.forget(connection)
-        talk = self.talks.pop(connection)
+        talk = self.sessions.pop(connection)
         log.debug("caller's connection closed", extra={"reason": reason, "calls": len(talk.calls)})
         for call in list(talk.calls.values()):
-            self.switchboard.caller_left(call)
-        self.releases.closed(talk)
+            self.switchboard.on_caller_left(call)
+        self.releases.on_connection_closed(talk)
 
-    def rank(self, connection: Connection) -> int:
+    def eviction_cost(self, connection: Connection) -> int:
         """A connection with open set-ups can't be spared; where calls stand, their callers listen on it."""
-        talk = self.talks[connection]
+        talk = self.sessions[connection]
         return -1 if talk.calls else talk.standing
 
-    def turn_out(self, connection: Connection) -> None:
-        connection.end("its place is needed")
+    def evict(self, connection: Connection) -> None:
+        connection.close_now("its place is needed")
 
-    def received(self, connection: Connection, data: bytes) -> None:
+    def on_data(self, connection: Connection, data: bytes) -> None:
         """Some messages a turn. Guards against one caller's burst holding up all the others."""
-        talk, whole = self.talks[connection], 0
+        talk, whole = self.sessions[connection], 0
         if data:
-            talk.spoke_at = self.loop.now()
+            talk.last_data_at = self.loop.now()
         try:
             for message in talk.decoder.feed(data):
                 whole += 1
                 self.take(talk, message)
                 if whole >= TURN:
                     connection.pause()
-                    self.loop.soon(lambda: self.go_on(connection))
+                    self.loop.call_soon(lambda: self.go_on(connection))
                     break
-        except BadBytes as fault:
+        except ProtocolError as fault:
             log.info("unreadable", extra={"caller": talk.host, "fault": str(fault)})
-            connection.end("unreadable")
-        connection.heard(whole, bool(talk.decoder.rest))
+            connection.close_now("unreadable")
+        connection.on_messages_decoded(whole, bool(talk.decoder.rest))
 
     def go_on(self, connection: Connection) -> None:
         """The rest of what a caller said at once."""
-        if connection.open:
+        if connection.is_open:
             connection.resume()
-            self.received(connection, b"")
+            self.on_data(connection, b"")
 
-    def take(self, talk: Talk, message: Message) -> None:
+    def take(self, talk: BinarySession, message: Message) -> None:
         match message.kind:
-            case Kind.SET_UP:
+            case MessageType.SET_UP:
                 self.set_up(talk, message)
-            case Kind.RELEASE:
+            case MessageType.RELEASE:
                 self.release(talk, message)
-            case Kind.RELEASE_HEARD:
-                if self.releases.heard(message.call) and not talk.acknowledges:
+            case MessageType.RELEASE_HEARD:
+                if self.releases.on_acknowledged(message.call) and not talk.acknowledges:
                     talk.acknowledges = True
-                    self.releases.proved(talk)
-            case Kind.TEST:
+                    self.releases.on_connection_trusted(talk)
+            case MessageType.TEST:
                 passed = b"\1" if self.serving else b"\0"
-                talk.send(encode(Message(Kind.TESTED, message.call, {Code.CAUSE: passed})))
+                talk.send(encode(Message(MessageType.TESTED, message.call, {ParameterCode.CAUSE: passed})))
             case _:
                 pass
 
-    def set_up(self, talk: Talk, message: Message) -> None:
+    def set_up(self, talk: BinarySession, message: Message) -> None:
         """Take it or say why not. The id of a call that is open here can't be told apart from it by any
         answer, so a second set-up under it ends the connection, and so do many in a row that can't be
         taken: a caller that comes again as soon as it is turned away gets a cheap answer."""
         request = request_from(message)
-        known = self.switchboard.known.get(request.identity)
-        if known is not None and isinstance(known.caller, Side) and known.caller.talk is talk:
-            raise BadBytes("a second set-up under the id of an open call")
+        known = self.switchboard.by_identity.get(request.identity)
+        if known is not None and isinstance(known.caller, BinaryCaller) and known.caller.session is talk:
+            raise ProtocolError("a second set-up under the id of an open call")
         try:
-            self.switchboard.offer(request, Side(self, talk))
-        except Unacceptable as fault:
+            self.switchboard.offer_call(request, BinaryCaller(self, talk))
+        except SetUpRejected as fault:
             talk.faults += 1
             log.debug("set-up not taken", extra={"error": fault.name, "detail": str(fault)})
-            talk.send(release(message.call, Cause.FAULT))
+            talk.send(release(message.call, ReleaseCause.FAULT))
             if talk.faults >= MOST_FAULTS and not talk.calls:
-                raise BadBytes(f"{talk.faults} set-ups that can't be taken") from fault
+                raise ProtocolError(f"{talk.faults} set-ups that can't be taken") from fault
         else:
             talk.faults = 0
 
-    def release(self, talk: Talk, message: Message) -> None:
+    def release(self, talk: BinarySession, message: Message) -> None:
         """A set-up given up, or the end of a call that stands; it may come on any connection, and cross the
         release of the same call, which its caller then needs no more."""
-        call = self.switchboard.known.get(message.call)
+        call = self.switchboard.by_identity.get(message.call)
         if call is None:
-            self.releases.crossed(message.call)
+            self.releases.discard(message.call)
             self.unknown(message.call)
         elif call.state is CallState.STANDING:
-            if isinstance(call.caller, Side):
-                call.caller.talk.standing -= 1
-            self.switchboard.caller_released(call)
+            if isinstance(call.caller, BinaryCaller):
+                call.caller.session.standing -= 1
+            self.switchboard.on_caller_release(call)
         else:
-            self.switchboard.caller_left(call)
-        talk.send(encode(Message(Kind.RELEASE_HEARD, message.call)))
+            self.switchboard.on_caller_left(call)
+        talk.send(encode(Message(MessageType.RELEASE_HEARD, message.call)))
 
     # What callers hear.
 
-    def say(self, way: Talk, call: int, cause: int) -> bool:
+    def write_release(self, way: BinarySession, call: int, cause: int) -> bool:
         return way.send(release(call, cause))
 
-    def strange(self, call: int, cause: int) -> None:
+    def release_unknown_call(self, call: int, cause: int) -> None:
         """A call of an earlier life is over: whose it was is not known."""
-        self.releases.owe(call, cause, None, "")
+        self.releases.enqueue_release(call, cause, None, "")
 
-    def owes(self) -> bool:
+    def has_pending_releases(self) -> bool:
         """Some caller has not heard yet, and still can."""
-        return self.releases.pending()
+        return self.releases.has_deliverable()
 
-    def close(self) -> None:
+    def stop_accepting(self) -> None:
         """Take no new connections."""
         self.listener.close()
 
-    def shut(self) -> None:
+    def close_sessions(self) -> None:
         """The program ends; callers see it as their connections close."""
 
 
-class Side:
+class BinaryCaller:
     """One call's caller on this front."""
 
-    __slots__ = ("front", "talk")
+    __slots__ = ("front", "session")
 
-    def __init__(self, front: BinaryFront, talk: Talk) -> None:
-        self.front, self.talk = front, talk
+    def __init__(self, front: BinaryFront, talk: BinarySession) -> None:
+        self.front, self.session = front, talk
 
-    def taken(self, call: Call) -> None:
-        self.talk.calls[call.number] = call
+    def on_accepted(self, call: Call) -> None:
+        self.session.calls[call.number] = call
 
-    def left(self, call: Call) -> None:
-        self.talk.calls.pop(call.number, None)
+    def on_withdrawn(self, call: Call) -> None:
+        self.session.calls.pop(call.number, None)
 
-    def progress(self, call: Call) -> None:
-        self.talk.send(encode(Message(Kind.PROGRESS, call.request.identity)))
+    def on_progress(self, call: Call) -> None:
+        self.session.send(encode(Message(MessageType.PROGRESS, call.request.identity)))
 
-    def answered(self, call: Call, description: bytes | None) -> None:
-        self.talk.calls.pop(call.number, None)
-        self.talk.standing += 1
-        proven, self.talk.served = self.talk.proven, True
-        parameters: dict[int, bytes] = {} if description is None else {Code.DESCRIPTION: description}
-        self.talk.send(encode(Message(Kind.ANSWER, call.request.identity, parameters)))
-        if not proven and self.talk.open:
-            self.front.releases.proved(self.talk)
+    def on_answered(self, call: Call, description: bytes | None) -> None:
+        self.session.calls.pop(call.number, None)
+        self.session.standing += 1
+        proven, self.session.served = self.session.is_trusted, True
+        parameters: dict[int, bytes] = {} if description is None else {ParameterCode.DESCRIPTION: description}
+        self.session.send(encode(Message(MessageType.ANSWER, call.request.identity, parameters)))
+        if not proven and self.session.is_open:
+            self.front.releases.on_connection_trusted(self.session)
 
-    def refused(self, call: Call, retry_after_ms: float) -> None:
+    def on_refused(self, call: Call, retry_after_ms: float) -> None:
         """The protocol has no field for when to come back."""
-        self.final(call, Cause.CONGESTION)
+        self.final(call, ReleaseCause.CONGESTION)
 
-    def failed(self, call: Call) -> None:
-        self.final(call, Cause.TEMPORARY)
+    def on_failed(self, call: Call) -> None:
+        self.final(call, ReleaseCause.TEMPORARY)
 
     def final(self, call: Call, cause: int) -> None:
-        self.talk.calls.pop(call.number, None)
-        self.talk.send(release(call.request.identity, cause))
+        self.session.calls.pop(call.number, None)
+        self.session.send(release(call.request.identity, cause))
 
-    def released(self, call: Call, cut: bool) -> None:
-        self.talk.standing -= 1
-        cause = Cause.TEMPORARY if cut else Cause.NORMAL
-        self.front.releases.owe(call.request.identity, cause, self.talk, self.talk.host)
+    def on_released(self, call: Call, cut: bool) -> None:
+        self.session.standing -= 1
+        cause = ReleaseCause.TEMPORARY if cut else ReleaseCause.NORMAL
+        self.front.releases.enqueue_release(call.request.identity, cause, self.session, self.session.host)
--- a/mintvalve/net/codec.py
+++ b/mintvalve/net/codec.py
@@ -14,7 +14,7 @@
 AFTER_LENGTH = HEAD.size - 2  # bytes of type and call
 
 
-class Kind(IntEnum):
+class MessageType(IntEnum):
     """Types of messages."""
 
     SET_UP = 1
@@ -28,12 +28,19 @@
 
 
 FROM_CALLERS = frozenset(
-    {Kind.SET_UP, Kind.PROGRESS, Kind.RELEASE, Kind.RELEASE_HEARD, Kind.TEST, Kind.TESTED}
+    {
+        MessageType.SET_UP,
+        MessageType.PROGRESS,
+        MessageType.RELEASE,
+        MessageType.RELEASE_HEARD,
+        MessageType.TEST,
+        MessageType.TESTED,
+    }
 )
-FROM_EXCHANGES = frozenset(Kind) - {Kind.SET_UP}
+FROM_EXCHANGES = frozenset(MessageType) - {MessageType.SET_UP}
 
 
-class Code(IntEnum):
+class ParameterCode(IntEnum):
     """Codes of parameters."""
 
     CLASS = 33
@@ -47,7 +54,7 @@
     DESCRIPTION = 63
 
 
-class Cause(IntEnum):
+class ReleaseCause(IntEnum):
     """Release causes."""
 
     NORMAL = 16
@@ -59,7 +66,7 @@
     MOOT = 102
 
 
-class BadBytes(Exception):
+class ProtocolError(Exception):
     """Bytes that are no message; the connection can't go on."""
 
 
@@ -71,24 +78,24 @@
     call: int
     parameters: dict[int, bytes] = field(default_factory=dict)
 
-    def text(self, code: Code) -> str:
+    def text(self, code: ParameterCode) -> str:
         """A parameter as text, empty where absent."""
         try:
             return self.parameters.get(code, b"").decode()
         except UnicodeDecodeError as fault:
-            raise BadBytes(f"parameter {code} is not text") from fault
+            raise ProtocolError(f"parameter {code} is not text") from fault
 
-    def whole(self, code: Code, default: int) -> int:
+    def whole(self, code: ParameterCode, default: int) -> int:
         """A parameter as a whole number."""
         text = self.text(code)
         return whole(text, f"parameter {code}") if text else default
 
     @property
     def cause(self) -> int:
-        value = self.parameters.get(Code.CAUSE, b"")
+        value = self.parameters.get(ParameterCode.CAUSE, b"")
         return value[0] if len(value) == 1 else -1
 
-    def fields(self, code: Code) -> dict[str, str]:
+    def fields(self, code: ParameterCode) -> dict[str, str]:
         """A parameter of the form a:1;b:2."""
         pairs = (part.partition(":") for part in self.text(code).split(";") if part)
         return {name: value for name, _, value in pairs}
@@ -98,7 +105,7 @@
     """A whole number of a size that may occur. Guards against figures that no clock or float takes."""
     digits = text.removeprefix("-")
     if not (digits.isascii() and digits.isdigit() and len(digits) <= MOST_DIGITS):
-        raise BadBytes(f"{name} is no number")
+        raise ProtocolError(f"{name} is no number")
     return int(text)
 
 
@@ -113,7 +120,7 @@
 
 def release(call: int, cause: int) -> bytes:
     """A release, refusal or give-up."""
-    return encode(Message(Kind.RELEASE, call, {Code.CAUSE: bytes([cause])}))
+    return encode(Message(MessageType.RELEASE, call, {ParameterCode.CAUSE: bytes([cause])}))
 
 
 def decode(body: bytes) -> Message:
@@ -123,11 +130,11 @@
     place = AFTER_LENGTH
     while place < len(body):
         if place + PARAMETER.size > len(body):
-            raise BadBytes("half a parameter")
+            raise ProtocolError("half a parameter")
         code, length = PARAMETER.unpack_from(body, place)
         place += PARAMETER.size
         if place + length > len(body):
-            raise BadBytes(f"parameter {code} is longer than its message")
+            raise ProtocolError(f"parameter {code} is longer than its message")
         message.parameters[code] = bytes(body[place : place + length])
         place += length
     return message
@@ -136,7 +143,7 @@
 class Decoder:
     """Gathers bytes as they come and yields whole messages, of the kinds that this side may be sent."""
 
-    def __init__(self, kinds: frozenset[Kind] = frozenset(Kind)) -> None:
+    def __init__(self, kinds: frozenset[MessageType] = frozenset(MessageType)) -> None:
         self.rest = bytearray()
         self.kinds = kinds
 
@@ -146,9 +153,9 @@
         while len(self.rest) >= 2:
             length = int.from_bytes(self.rest[:2], "big")
             if not AFTER_LENGTH <= length <= MOST - 2:
-                raise BadBytes(f"a length of {length}")
+                raise ProtocolError(f"a length of {length}")
             if len(self.rest) > 2 and self.rest[2] not in self.kinds:
-                raise BadBytes(f"a message of type {self.rest[2]}")
+                raise ProtocolError(f"a message of type {self.rest[2]}")
             if len(self.rest) < 2 + length:
                 return
             body = bytes(self.rest[2 : 2 + length])
--- a/mintvalve/net/connection.py
+++ b/mintvalve/net/connection.py
@@ -32,40 +32,42 @@
     CLOSED = "closed"
 
 
-class Owner(Protocol):
+class ConnectionOwner(Protocol):
     """Whoever speaks over a connection."""
 
-    def opened(self, connection: Connection) -> None: ...
+    def on_opened(self, connection: Connection) -> None: ...
 
-    def received(self, connection: Connection, data: bytes) -> None: ...
+    def on_data(self, connection: Connection, data: bytes) -> None: ...
 
-    def closed(self, connection: Connection, reason: str) -> None: ...
+    def on_closed(self, connection: Connection, reason: str) -> None: ...
 
 
 class Connection:
     """One connection; its owner hears of its end exactly once, never from within a call of its own."""
 
-    def __init__(self, loop: Loop, sock: socket.socket, owner: Owner, most: int = BUFFER) -> None:
+    def __init__(self, loop: Loop, sock: socket.socket, owner: ConnectionOwner, most: int = BUFFER) -> None:
         self.loop, self.sock, self.owner, self.most = loop, sock, owner, most
         self.state = ConnectionState.OPEN
         self.waiting = bytearray()
-        self.queued = self.written = 0  # bytes, over the connection's life
+        self.bytes_queued = self.bytes_written = 0  # bytes, over the connection's life
         self.reset = self.refused = False  # by the other side
         self.reading = True  # what comes is taken
-        self.since = loop.now()
-        self.spoke_at: float | None = None  # the last whole message
-        self.half_at: float | None = None  # since when a message is there in part
+        self.created_at = loop.now()
+        self.last_message_at: float | None = None  # the last whole message
+        self.partial_since: float | None = None  # since when a message is there in part
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     @classmethod
-    def accepted(cls, loop: Loop, sock: socket.socket, owner: Owner, most: int = BUFFER) -> Connection:
+    def accepted(
+        cls, loop: Loop, sock: socket.socket, owner: ConnectionOwner, most: int = BUFFER
+    ) -> Connection:
         connection = cls(loop, sock, owner, most)
         loop.watch(sock, READ, connection.ready)
         return connection
 
     @classmethod
-    def dial(cls, loop: Loop, host: str, port: int, owner: Owner, timeout_ms: float) -> Connection:
+    def dial(cls, loop: Loop, host: str, port: int, owner: ConnectionOwner, timeout_ms: float) -> Connection:
         """Connect; `opened` or `closed` follows, within the time-out."""
         connection = cls(loop, socket.socket(socket.AF_INET, socket.SOCK_STREAM), owner)
         connection.state = ConnectionState.CONNECTING
@@ -74,33 +76,35 @@
             connection.fail(error)
         else:
             loop.watch(connection.sock, WRITE, connection.ready)
-            loop.after(timeout_ms, connection.dial_overdue)
+            loop.call_later(timeout_ms, connection.dial_overdue)
         return connection
 
     def dial_overdue(self) -> None:
         if self.state is ConnectionState.CONNECTING:
-            self.end("no connection in time")
+            self.close_now("no connection in time")
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         return self.state is ConnectionState.OPEN
 
     def send(self, data: bytes) -> bool:
         """Write, or keep what can't be written yet; False where the connection is no longer open or full."""
         if self.state is not ConnectionState.OPEN or len(self.waiting) + len(data) > self.most:
             return False
-        self.queued += len(data)
+        self.bytes_queued += len(data)
         idle = not self.waiting
         self.waiting += data
         if idle:
             self.flush()
         return True
 
-    def heard(self, whole: int, rest: bool) -> None:
+    def on_messages_decoded(self, whole: int, rest: bool) -> None:
         """What the owner made of the bytes: so many whole messages, and whether a part of one is left."""
         now = self.loop.now()
-        self.spoke_at = now if whole else self.spoke_at
-        self.half_at = None if not rest else now if whole or self.half_at is None else self.half_at
+        self.last_message_at = now if whole else self.last_message_at
+        self.partial_since = (
+            None if not rest else now if whole or self.partial_since is None else self.partial_since
+        )
 
     def pause(self) -> None:
         """Take nothing more for now: the owner has enough to do, and others wait."""
@@ -116,29 +120,29 @@
             reads = READ if self.reading and self.state is ConnectionState.OPEN else 0
             self.loop.watch(self.sock, reads | (WRITE if self.waiting else 0), self.ready)
 
-    def finish(self, last: bytes = b"") -> None:
+    def close_after_flush(self, last: bytes = b"") -> None:
         """Write what waits and these last bytes, whatever their number, then close."""
         if self.state is ConnectionState.OPEN:
             self.state = ConnectionState.FINISHING
-            self.queued += len(last)
+            self.bytes_queued += len(last)
             self.waiting += last
-            self.loop.after(LINGER_MS, lambda: self.end("finished, not all written"))
+            self.loop.call_later(LINGER_MS, lambda: self.close_now("finished, not all written"))
             self.flush()
         elif self.state is ConnectionState.CONNECTING:
-            self.end("finished before it was up")
+            self.close_now("finished before it was up")
 
-    def end(self, reason: str) -> None:
+    def close_now(self, reason: str) -> None:
         """Close at once; the owner hears of it in the next turn."""
         if self.state is ConnectionState.CLOSED:
             return
         self.state = ConnectionState.CLOSED
         self.loop.watch(self.sock, 0, self.ready)
         self.sock.close()
-        self.loop.soon(lambda: self.owner.closed(self, reason))
+        self.loop.call_soon(lambda: self.owner.on_closed(self, reason))
 
     def fail(self, error: int) -> None:
         self.reset, self.refused = error == errno.ECONNRESET, error == errno.ECONNREFUSED
-        self.end(errno.errorcode.get(error, str(error)))
+        self.close_now(errno.errorcode.get(error, str(error)))
 
     def ready(self, events: int) -> None:
         if self.state is ConnectionState.CONNECTING:
@@ -156,7 +160,7 @@
             return
         self.state = ConnectionState.OPEN
         self.loop.watch(self.sock, READ, self.ready)
-        self.owner.opened(self)
+        self.owner.on_opened(self)
 
     def read(self) -> None:
         try:
@@ -167,9 +171,9 @@
             self.fail(fault.errno or 0)
             return
         if not data:
-            self.end("closed by the other side")
+            self.close_now("closed by the other side")
             return
-        self.owner.received(self, data)
+        self.owner.on_data(self, data)
 
     def flush(self) -> None:
         """Write as much as goes; watch for room while something waits."""
@@ -177,26 +181,26 @@
             while self.waiting:
                 count = self.sock.send(self.waiting)
                 del self.waiting[:count]
-                self.written += count
+                self.bytes_written += count
         except (BlockingIOError, InterruptedError):
             pass
         except OSError as fault:
             self.fail(fault.errno or 0)
             return
         if not self.waiting and self.state is ConnectionState.FINISHING:
-            self.end("finished")
+            self.close_now("finished")
             return
         self.watch()
 
 
-class Host(Owner, Protocol):
+class ListenerOwner(ConnectionOwner, Protocol):
     """Whoever lets connections in."""
 
-    def rank(self, connection: Connection) -> int:
+    def eviction_cost(self, connection: Connection) -> int:
         """How much is lost with this connection, 0 for nothing; below 0: it can't be spared."""
         ...
 
-    def turn_out(self, connection: Connection) -> None: ...
+    def evict(self, connection: Connection) -> None: ...
 
 
 class Listener:
@@ -205,10 +209,12 @@
     day, where 128 of them held all places and half of the calls never came in. Silent ones are closed in
     time; where all places are taken, those quiet for longest make room, first the ones that never spoke."""
 
-    def __init__(self, loop: Loop, host: str, port: int, owner: Host, room: int, most: int = BUFFER) -> None:
+    def __init__(
+        self, loop: Loop, host: str, port: int, owner: ListenerOwner, room: int, most: int = BUFFER
+    ) -> None:
         self.loop, self.owner, self.room, self.most = loop, owner, room, most
         self.connections: set[Connection] = set()
-        loop.after(LOOK_MS, self.look)
+        loop.call_later(LOOK_MS, self.look)
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.bind((host, port))
@@ -232,35 +238,35 @@
                 break
             connection = Connection.accepted(self.loop, sock, self.owner, self.most)
             self.connections.add(connection)
-            self.owner.opened(connection)
+            self.owner.on_opened(connection)
         else:
             return  # the next turn has more
         self.loop.watch(self.sock, 0, self.ready)
-        self.loop.after(FULL_MS, self.resume)
+        self.loop.call_later(FULL_MS, self.resume)
 
     def make_room(self) -> bool:
         """Close some of the connections that nobody misses; whether there is a place now."""
         now = self.loop.now()
         found: list[tuple[bool, int, float, Connection]] = []
         for each in self.connections:
-            last = each.since if each.spoke_at is None else each.spoke_at
-            if each.open and now - last >= YOUNG_MS and (rank := self.owner.rank(each)) >= 0:
-                found.append((each.spoke_at is not None, rank, last, each))
+            last = each.created_at if each.last_message_at is None else each.last_message_at
+            if each.is_open and now - last >= YOUNG_MS and (rank := self.owner.eviction_cost(each)) >= 0:
+                found.append((each.last_message_at is not None, rank, last, each))
         for *_, each in sorted(found, key=lambda entry: entry[:3])[: 1 + self.room // 16]:
-            self.owner.turn_out(each)
+            self.owner.evict(each)
             self.forget(each)
         return len(self.connections) < self.room
 
     def look(self) -> None:
         """Now and then: whoever is silent, or speaks without an end, is closed."""
         if self.sock.fileno() >= 0 or self.connections:
-            self.loop.after(LOOK_MS, self.look)
+            self.loop.call_later(LOOK_MS, self.look)
         now = self.loop.now()
         for each in list(self.connections):
-            if each.spoke_at is None and now - each.since >= UNSPOKEN_MS:
-                each.end("said nothing")
-            elif each.half_at is not None and now - each.half_at >= HALF_MS:
-                each.end("half a message")
+            if each.last_message_at is None and now - each.created_at >= UNSPOKEN_MS:
+                each.close_now("said nothing")
+            elif each.partial_since is not None and now - each.partial_since >= HALF_MS:
+                each.close_now("half a message")
 
     def resume(self) -> None:
         if self.sock.fileno() >= 0:
--- a/mintvalve/net/deadlines.py
+++ b/mintvalve/net/deadlines.py
@@ -16,7 +16,7 @@
     def __init__(self, owner: Deadlines, key: tuple[float, int], action: Callable[[], None]) -> None:
         self.owner, self.key, self.action = owner, key, action
 
-    def drop(self) -> None:
+    def cancel(self) -> None:
         """It never comes due; harmless once it has."""
         self.owner.entries.pop(self.key, None)
 
--- a/mintvalve/net/loop.py
+++ b/mintvalve/net/loop.py
@@ -35,12 +35,12 @@
         self.last = max(self.last, self.clock())
         return self.last
 
-    def after(self, ms: float, action: Callable[[], None]) -> Deadline:
+    def call_later(self, ms: float, action: Callable[[], None]) -> Deadline:
         return self.deadlines.at(self.now() + ms, action)
 
-    def soon(self, action: Callable[[], None]) -> Deadline:
+    def call_soon(self, action: Callable[[], None]) -> Deadline:
         """In the next turn, when no caller of ours is in the middle of something."""
-        return self.after(0.0, action)
+        return self.call_later(0.0, action)
 
     def watch(self, sock: socket.socket, events: int, handler: Handler) -> None:
         """Call `handler` when the socket is ready for `events`; 0 watches it no more. A closed one is ready
--- a/mintvalve/net/names.py
+++ b/mintvalve/net/name_server_client.py
@@ -16,7 +16,7 @@
 import dns.rdatatype
 import dns.rrset
 
-from mintvalve.interface import Exchange, ListKind, State
+from mintvalve.interface import Exchange, ListUpdateKind, ExchangeState
 from mintvalve.net.loop import READ, Loop
 
 log = logging.getLogger("mintvalve.names")
@@ -26,11 +26,11 @@
 LOST_MS = 150.0  # ms; a query that brought no good answer by then is followed by the next one
 KEPT = 8  # queries whose answer may still come
 MOST = 8192  # bytes of an answer
-STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
+STATES = {"SERVING": ExchangeState.READY, "DRAINING": ExchangeState.DRAINING, "DELETED": ExchangeState.GONE}
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class ListedExchange:
     """An exchange and where it listens."""
 
     exchange: Exchange
@@ -45,13 +45,13 @@
     return host, int(port)
 
 
-def known_events(known: dict[str, Any]) -> list[tuple[int, ListKind, list[Entry]]]:
+def known_events(known: dict[str, Any]) -> list[tuple[int, ListUpdateKind, list[ListedExchange]]]:
     """The events of the configuration's `known`, oldest first."""
-    events: list[tuple[int, ListKind, list[Entry]]] = []
+    events: list[tuple[int, ListUpdateKind, list[ListedExchange]]] = []
     for event in known.get("results", []):
         fleet = event["fleet"]
         entries = [
-            Entry(
+            ListedExchange(
                 Exchange(
                     member["id"],
                     int(member.get("cell", -1)),
@@ -63,21 +63,21 @@
             )
             for member in fleet.get("members", [])
         ]
-        kind = ListKind.FULL if fleet.get("complete") or not events else ListKind.CHANGES
+        kind = ListUpdateKind.FULL if fleet.get("complete") or not events else ListUpdateKind.CHANGES
         events.append((int(event["seq"]), kind, entries))
     return sorted(events, key=lambda event: event[0])
 
 
-def merged(events: list[tuple[int, ListKind, list[Entry]]]) -> dict[str, Entry]:
+def merged(events: list[tuple[int, ListUpdateKind, list[ListedExchange]]]) -> dict[str, ListedExchange]:
     """The list that results from events."""
-    held: dict[str, Entry] = {}
+    held: dict[str, ListedExchange] = {}
     for _, kind, entries in events:
-        held = {} if kind is ListKind.FULL else held
+        held = {} if kind is ListUpdateKind.FULL else held
         held |= {entry.exchange.address: entry for entry in entries}
-    return {name: entry for name, entry in held.items() if entry.exchange.state is not State.GONE}
+    return {name: entry for name, entry in held.items() if entry.exchange.state is not ExchangeState.GONE}
 
 
-def from_answer(answer: dns.message.Message) -> tuple[int, dict[str, Entry]]:
+def from_answer(answer: dns.message.Message) -> tuple[int, dict[str, ListedExchange]]:
     """The serial and the whole list of an answer; ValueError where it can't be used."""
     serial: int | None = None
     for rrset in answer.authority:
@@ -100,25 +100,25 @@
             elif item.rdtype == dns.rdatatype.TXT:
                 pairs = (part.decode(errors="replace").partition("=") for part in item.strings)
                 texts[owner] = {name: value for name, _, value in pairs}
-    held: dict[str, Entry] = {}
+    held: dict[str, ListedExchange] = {}
     for item in services:
         target = item.target.to_text()
         labels, facts = target.split("."), texts.get(target.lower(), {})
         if target.lower() not in hosts:
             raise ValueError(f"no address for {target}")
-        state = State.READY if item.priority == 0 else State.DRAINING
+        state = ExchangeState.READY if item.priority == 0 else ExchangeState.DRAINING
         exchange = Exchange(
             labels[0], int(facts.get("cell", -1)), state, labels[1], float(facts.get("started", 0) or 0)
         )
-        held[labels[0]] = Entry(exchange, (hosts[target.lower()], item.port))
+        held[labels[0]] = ListedExchange(exchange, (hosts[target.lower()], item.port))
     return serial, held
 
 
-class Names:
+class NameServerClient:
     """Asks the name server now and then, and tells of every change."""
 
     def __init__(
-        self, loop: Loop, server: tuple[str, int], seq: int, tell: Callable[[dict[str, Entry]], None]
+        self, loop: Loop, server: tuple[str, int], seq: int, tell: Callable[[dict[str, ListedExchange]], None]
     ) -> None:
         self.loop, self.server, self.seq, self.tell = loop, server, seq, tell
         self.sock = self.open()
@@ -133,7 +133,9 @@
         self.loop.watch(sock, READ, self.ready)
         return sock
 
-    def move(self, server: tuple[str, int], events: list[tuple[int, ListKind, list[Entry]]]) -> None:
+    def move(
+        self, server: tuple[str, int], events: list[tuple[int, ListUpdateKind, list[ListedExchange]]]
+    ) -> None:
         """Another name server from now on, and the list that came with it, should it be a newer one. The
         numbers of the events go on."""
         if events and events[-1][0] > self.seq:
@@ -149,11 +151,11 @@
         """Now and then; sooner where an answer got lost, failed or was of no use."""
         if self.sock.fileno() >= 0:
             self.query()
-            self.loop.after(LOST_MS, self.ask_again)
+            self.loop.call_later(LOST_MS, self.ask_again)
 
     def ask_again(self) -> None:
         if self.answered:
-            self.loop.after(ASK_MS - LOST_MS, self.ask)
+            self.loop.call_later(ASK_MS - LOST_MS, self.ask)
         else:
             self.ask()
 
--- a/mintvalve/net/websocket_front.py
+++ b/mintvalve/net/websocket_front.py
@@ -22,11 +22,11 @@
 from wsproto import events as ws
 from wsproto.utilities import LocalProtocolError, RemoteProtocolError
 
-from mintvalve.core.calls import Call, CallState, Request
-from mintvalve.core.switchboard import Switchboard, Unacceptable
-from mintvalve.net.codec import Cause
+from mintvalve.core.calls import Call, CallState, CallRequest
+from mintvalve.core.call_manager import CallManager, SetUpRejected
+from mintvalve.net.codec import ReleaseCause
 from mintvalve.net.connection import Connection, Listener
-from mintvalve.net.courier import Courier
+from mintvalve.net.release_scheduler import ReleaseScheduler
 from mintvalve.net.loop import Loop
 
 log = logging.getLogger("mintvalve.front.websocket")
@@ -103,7 +103,7 @@
     return int(value, 16)
 
 
-def request_of(message: dict[str, Any]) -> Request:
+def request_of(message: dict[str, Any]) -> CallRequest:
     """A set_up as a request."""
     kind, called = message.get("class"), message.get("number")
     if not isinstance(kind, str):
@@ -126,9 +126,9 @@
             raise Fault("bad_field", "description must be base64") from None
         if len(description) > MOST_DESCRIPTION:
             raise Fault("bad_field", f"description must have {MOST_DESCRIPTION} bytes at the most")
-    return Request(
+    return CallRequest(
         identity=identity_of(message),
-        kind=kind,
+        call_class=kind,
         called=called,
         wait_ms=float(whole(message, "wait_ms", 1, LONGEST_WAIT_MS)),
         destination=whole(message, "destination", 0, 1_000_000),
@@ -140,7 +140,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Talk:
+class WebSocketSession:
     """One client's connection."""
 
     connection: Connection
@@ -152,83 +152,85 @@
     text: bool = True
     ponged: bool = True
     host: str = ""  # a release is nobody's business but his who set the call up, or follows it
-    proven: bool = False
+    is_trusted: bool = False
     acknowledges: bool = True  # by pongs
-    spoke_at: float = -math.inf
+    last_data_at: float = -math.inf
     unsure: list[int] = field(default_factory=list)  # calls whose release was said since the last such ping
     asked: dict[int, list[int]] = field(default_factory=dict)  # by that ping's number: what it is to show
     asks: int = 0
 
     @property
-    def open(self) -> bool:
-        return self.accepted and self.connection.open
+    def is_open(self) -> bool:
+        return self.accepted and self.connection.is_open
 
 
 class WebSocketFront:
     """Callers by WebSocket."""
 
     def __init__(
-        self, loop: Loop, switchboard: Switchboard, options: Options, address: tuple[str, int]
+        self, loop: Loop, switchboard: CallManager, options: Options, address: tuple[str, int]
     ) -> None:
         self.loop, self.switchboard, self.options = loop, switchboard, options
-        self.talks: dict[Connection, Talk] = {}
-        self.sides: dict[int, Side] = {}  # by identity: calls of this front
-        self.releases: Courier[Talk] = Courier(loop, self, KEPT_MS, KEPT_MOST, strangers=False)
+        self.sessions: dict[Connection, WebSocketSession] = {}
+        self.sides: dict[int, WebSocketCaller] = {}  # by identity: calls of this front
+        self.releases: ReleaseScheduler[WebSocketSession] = ReleaseScheduler(
+            loop, self, KEPT_MS, KEPT_MOST, strangers=False
+        )
         self.listener = Listener(loop, *address, self, options.connections, options.outbound_bytes)
-        loop.after(options.ping_ms, self.ping)
+        loop.call_later(options.ping_ms, self.ping)
 
     # Connections.
 
-    def opened(self, connection: Connection) -> None:
+    def on_opened(self, connection: Connection) -> None:
         connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, self.options.outbound_bytes)
-        self.talks[connection] = Talk(connection)
+        self.sessions[connection] = WebSocketSession(connection)
 
-    def closed(self, connection: Connection, reason: str) -> None:
+    def on_closed(self, connection: Connection, reason: str) -> None:
         self.listener.forget(connection)
-        talk = self.talks.pop(connection)
+        talk = self.sessions.pop(connection)
         log.debug("client gone", extra={"reason": reason, "calls": len(talk.calls)})
         self.abandon(talk)
-        self.releases.closed(talk)
+        self.releases.on_connection_closed(talk)
 
-    def rank(self, connection: Connection) -> int:
+    def eviction_cost(self, connection: Connection) -> int:
         """A client with open set-ups can't be spared; one that follows calls only if no other can."""
-        talk = self.talks[connection]
-        return -1 if talk.calls else sum(side.talk is talk for side in self.sides.values())
+        talk = self.sessions[connection]
+        return -1 if talk.calls else sum(side.session is talk for side in self.sides.values())
 
-    def turn_out(self, connection: Connection) -> None:
-        self.leave(self.talks[connection], AGAIN_LATER, "its place is needed")
+    def evict(self, connection: Connection) -> None:
+        self.leave(self.sessions[connection], AGAIN_LATER, "its place is needed")
 
-    def abandon(self, talk: Talk) -> None:
+    def abandon(self, talk: WebSocketSession) -> None:
         """Nobody waits for these answers any more; calls that stand go on."""
         for call in list(talk.calls.values()):
-            self.switchboard.caller_left(call)
+            self.switchboard.on_caller_left(call)
 
     def ping(self) -> None:
         """A client that left without a word is found out: a tab on a machine that lost its network."""
         if self.listener.sock.fileno() >= 0:
-            self.loop.after(self.options.ping_ms, self.ping)
-        for talk in list(self.talks.values()):
+            self.loop.call_later(self.options.ping_ms, self.ping)
+        for talk in list(self.sessions.values()):
             if not talk.ponged:
-                talk.connection.end("no sign of life")
+                talk.connection.close_now("no sign of life")
                 continue
             talk.ponged = False
             if talk.accepted:
                 self.write(talk, ws.Ping())
 
-    def close(self) -> None:
+    def stop_accepting(self) -> None:
         """Take no new connections."""
         self.listener.close()
 
-    def shut(self) -> None:
+    def close_sessions(self) -> None:
         """The program ends."""
-        for talk in list(self.talks.values()):
+        for talk in list(self.sessions.values()):
             self.leave(talk, GOING_AWAY, "going away")
 
     # Writing.
 
-    def write(self, talk: Talk, event: ws.Event) -> None:
+    def write(self, talk: WebSocketSession, event: ws.Event) -> None:
         """One frame; a client that does not read is closed rather than let its buffer grow."""
-        if not talk.connection.open:
+        if not talk.connection.is_open:
             return
         try:
             data = talk.wire.send(event)
@@ -237,66 +239,66 @@
         if not talk.connection.send(data):
             self.leave(talk, POLICY, "slow reader")
 
-    def leave(self, talk: Talk, code: int, reason: str) -> None:
+    def leave(self, talk: WebSocketSession, code: int, reason: str) -> None:
         """Close with a code, behind what waits; open calls are given up in the next turn."""
-        if talk.connection.open:
+        if talk.connection.is_open:
             log.info("client closed", extra={"code": code, "reason": reason})
             try:
                 last = talk.wire.send(ws.CloseConnection(code, reason)) if talk.accepted else b""
             except LocalProtocolError:
                 last = b""
-            talk.connection.finish(last)
-            self.loop.soon(lambda: self.abandon(talk))
+            talk.connection.close_after_flush(last)
+            self.loop.call_soon(lambda: self.abandon(talk))
 
-    def owes(self) -> bool:
+    def has_pending_releases(self) -> bool:
         """Some client has not heard of an end yet, and still can."""
-        return self.releases.pending()
+        return self.releases.has_deliverable()
 
-    def say(self, way: Talk, call: int, cause: int) -> bool:
+    def write_release(self, way: WebSocketSession, call: int, cause: int) -> bool:
         """A release, and a ping whose pong shows that it was read: a client answers in order (RFC 6455,
         5.5.3: a pong to the latest ping will do for those before it)."""
         if not self.tell(way, "release", call, cause=cause):
             return False
         if not way.unsure:
-            self.loop.soon(lambda: self.ask(way))
+            self.loop.call_soon(lambda: self.ask(way))
         way.unsure.append(call)
         return True
 
-    def ask(self, talk: Talk) -> None:
+    def ask(self, talk: WebSocketSession) -> None:
         talk.asks += 1
         talk.asked[talk.asks], talk.unsure = talk.unsure, []
         self.write(talk, ws.Ping(b"heard %d" % talk.asks))
 
-    def ponged(self, talk: Talk, payload: bytes) -> None:
+    def ponged(self, talk: WebSocketSession, payload: bytes) -> None:
         talk.ponged = True
         word, _, number = payload.partition(b" ")
         if word != b"heard" or not number.isdigit() or int(number) not in talk.asked:
             return
         for each in [asked for asked in talk.asked if asked <= int(number)]:
             for call in talk.asked.pop(each):
-                self.releases.heard(call)
+                self.releases.on_acknowledged(call)
 
-    def tell(self, talk: Talk | None, kind: str, call: int | None = None, **more: object) -> bool:
+    def tell(self, talk: WebSocketSession | None, kind: str, call: int | None = None, **more: object) -> bool:
         """One message; False where the connection is gone."""
-        if talk is None or not talk.connection.open:
+        if talk is None or not talk.connection.is_open:
             return False
         names = {} if call is None else {"id": f"{call:016x}"}
         self.write(talk, ws.TextMessage(json.dumps({"type": kind, **names, **more})))
-        return talk.connection.open
+        return talk.connection.is_open
 
     # Reading.
 
-    def received(self, connection: Connection, data: bytes) -> None:
-        talk = self.talks[connection]
-        talk.spoke_at = self.loop.now()
+    def on_data(self, connection: Connection, data: bytes) -> None:
+        talk = self.sessions[connection]
+        talk.last_data_at = self.loop.now()
         try:
             talk.wire.receive_data(data)
             whole = 0
             for event in talk.wire.events():
-                if connection.open:
+                if connection.is_open:
                     self.take(talk, event)
                     whole += talk.accepted and talk.length == 0
-            connection.heard(whole, talk.length > 0)
+            connection.on_messages_decoded(whole, talk.length > 0)
         except RemoteProtocolError as fault:
             log.info("not WebSocket", extra={"fault": str(fault)})
             hint = fault.event_hint
@@ -305,7 +307,7 @@
             else:
                 self.turn_away(talk, getattr(hint, "status_code", None) or 400)
 
-    def take(self, talk: Talk, event: ws.Event) -> None:
+    def take(self, talk: WebSocketSession, event: ws.Event) -> None:
         match event:
             case ws.Request():
                 self.admit(talk, event)
@@ -316,10 +318,10 @@
             case ws.Pong():
                 self.ponged(talk, bytes(event.payload))
             case ws.CloseConnection():
-                talk.connection.finish(talk.wire.send(event.response()))
+                talk.connection.close_after_flush(talk.wire.send(event.response()))
                 self.abandon(talk)
 
-    def admit(self, talk: Talk, request: ws.Request) -> None:
+    def admit(self, talk: WebSocketSession, request: ws.Request) -> None:
         """The handshake: the path and the page's origin must be ours."""
         headers = {name.lower(): value for name, value in request.extra_headers}
         origin = headers.get(b"origin", b"").decode("latin-1")
@@ -332,14 +334,16 @@
             talk.accepted = talk.ponged = True
             self.write(talk, ws.AcceptConnection())
 
-    def turn_away(self, talk: Talk, status: int) -> None:
+    def turn_away(self, talk: WebSocketSession, status: int) -> None:
         try:
             headers = [(b"content-length", b"0"), (b"connection", b"close")]
-            talk.connection.finish(talk.wire.send(ws.RejectConnection(headers=headers, status_code=status)))
+            talk.connection.close_after_flush(
+                talk.wire.send(ws.RejectConnection(headers=headers, status_code=status))
+            )
         except LocalProtocolError:  # what came was not even HTTP
-            talk.connection.finish(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
+            talk.connection.close_after_flush(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 
-    def gather(self, talk: Talk, event: ws.TextMessage | ws.BytesMessage) -> None:
+    def gather(self, talk: WebSocketSession, event: ws.TextMessage | ws.BytesMessage) -> None:
         """A message may come in many frames; no more of it is kept than may be served."""
         talk.length += len(event.data)
         talk.text = talk.text and isinstance(event, ws.TextMessage)
@@ -360,7 +364,7 @@
                 raise Fault("too_large", f"a message has {self.options.message_bytes} characters at the most")
             message = self.parsed(text)
             self.serve(talk, message)
-        except (Fault, Unacceptable) as fault:
+        except (Fault, SetUpRejected) as fault:
             named = message.get("id")
             more = {"id": named} if isinstance(named, str) and IDENTITY.fullmatch(named) else {}
             self.tell(talk, "error", None, error=fault.name, detail=str(fault), **more)
@@ -375,10 +379,10 @@
             raise Fault("malformed", "not an object")
         return message
 
-    def serve(self, talk: Talk, message: dict[str, Any]) -> None:
+    def serve(self, talk: WebSocketSession, message: dict[str, Any]) -> None:
         match message.get("type"):
             case "set_up":
-                self.switchboard.offer(request_of(message), Side(self, talk))
+                self.switchboard.offer_call(request_of(message), WebSocketCaller(self, talk))
             case "release":
                 self.release(message)
             case "follow":
@@ -391,75 +395,75 @@
         release of the same call."""
         identity = identity_of(message)
         if identity in self.releases:
-            self.releases.crossed(identity)
+            self.releases.discard(identity)
             return
         side = self.sides.get(identity)
         if side is None or side.call is None or side.call.state is CallState.OVER:
             raise Fault("unknown_call", "no call of this id is open here")
-        self.switchboard.caller_released(side.call)
+        self.switchboard.on_caller_release(side.call)
         self.forget(side)
 
-    def follow(self, talk: Talk, message: dict[str, Any]) -> None:
+    def follow(self, talk: WebSocketSession, message: dict[str, Any]) -> None:
         """A client that came back wants to hear of a call that stands, or that ended meanwhile."""
         identity = identity_of(message)
-        if self.releases.rehome(identity, talk):
+        if self.releases.redirect(identity, talk):
             return
         side = self.sides.get(identity)
         if side is None or side.call is None or side.call.state in (CallState.HELD, CallState.TRYING):
             raise Fault("unknown_call", "no call of this id stands here")
-        side.talk = talk
+        side.session = talk
         side.say_answer()
 
-    def forget(self, side: Side) -> None:
+    def forget(self, side: WebSocketCaller) -> None:
         if side.call is not None and self.sides.get(side.call.request.identity) is side:
             del self.sides[side.call.request.identity]
             side.call = None  # the call knows its side, too
 
 
-class Side:
+class WebSocketCaller:
     """One call's client on this front."""
 
-    __slots__ = ("call", "description", "front", "talk")
+    __slots__ = ("call", "description", "front", "session")
 
-    def __init__(self, front: WebSocketFront, talk: Talk) -> None:
-        self.front, self.talk = front, talk
+    def __init__(self, front: WebSocketFront, talk: WebSocketSession) -> None:
+        self.front, self.session = front, talk
         self.call: Call | None = None
         self.description: bytes | None = None
 
-    def taken(self, call: Call) -> None:
+    def on_accepted(self, call: Call) -> None:
         self.call = call
-        self.talk.calls[call.number] = call
+        self.session.calls[call.number] = call
         self.front.sides[call.request.identity] = self
 
-    def left(self, call: Call) -> None:
+    def on_withdrawn(self, call: Call) -> None:
         self.done(call)
 
     def done(self, call: Call) -> None:
-        self.talk.calls.pop(call.number, None)
+        self.session.calls.pop(call.number, None)
         self.front.forget(self)
 
-    def progress(self, call: Call) -> None:
-        self.front.tell(self.talk, "progress", call.request.identity)
+    def on_progress(self, call: Call) -> None:
+        self.front.tell(self.session, "progress", call.request.identity)
 
-    def answered(self, call: Call, description: bytes | None) -> None:
-        self.talk.calls.pop(call.number, None)
+    def on_answered(self, call: Call, description: bytes | None) -> None:
+        self.session.calls.pop(call.number, None)
         self.description = description
         self.say_answer()
 
     def say_answer(self) -> None:
         assert self.call is not None
         text = None if self.description is None else base64.b64encode(self.description).decode()
-        self.front.tell(self.talk, "answer", self.call.request.identity, description=text)
+        self.front.tell(self.session, "answer", self.call.request.identity, description=text)
 
-    def refused(self, call: Call, retry_after_ms: float) -> None:
+    def on_refused(self, call: Call, retry_after_ms: float) -> None:
         self.done(call)
-        self.front.tell(self.talk, "refused", call.request.identity, retry_after_ms=round(retry_after_ms))
+        self.front.tell(self.session, "refused", call.request.identity, retry_after_ms=round(retry_after_ms))
 
-    def failed(self, call: Call) -> None:
+    def on_failed(self, call: Call) -> None:
         self.done(call)
-        self.front.tell(self.talk, "failed", call.request.identity)
+        self.front.tell(self.session, "failed", call.request.identity)
 
-    def released(self, call: Call, cut: bool) -> None:
-        cause = int(Cause.TEMPORARY if cut else Cause.NORMAL)
+    def on_released(self, call: Call, cut: bool) -> None:
+        cause = int(ReleaseCause.TEMPORARY if cut else ReleaseCause.NORMAL)
         self.front.forget(self)
-        self.front.releases.owe(call.request.identity, cause, self.talk, "")
+        self.front.releases.enqueue_release(call.request.identity, cause, self.session, "")
--- a/mintvalve/settings.py
+++ b/mintvalve/settings.py
@@ -9,9 +9,9 @@
 Pairs = dict[str, str]
 
 REPEATS = {
-    "idempotent": io.Repeat.ALWAYS,
-    "deduplicated": io.Repeat.WITHIN_GROUP,
-    "at_most_once": io.Repeat.NEVER_AFTER_RUN,
+    "idempotent": io.RetryPolicy.ALWAYS,
+    "deduplicated": io.RetryPolicy.WITHIN_GROUP,
+    "at_most_once": io.RetryPolicy.NEVER_AFTER_RUN,
 }
 REPORT_NAMES = {
     "idle": "free",
@@ -107,7 +107,7 @@
                 late_worth=number(get(head + "LateValue", "0")),
                 width=int(number(nth(widths, index, "1"))),
                 holding_ms=number(nth(lengths, index, "10000")),
-                repeat=REPEATS.get(get(head + "Effect", "idempotent"), io.Repeat.NEVER_AFTER_RUN),
+                repeat=REPEATS.get(get(head + "Effect", "idempotent"), io.RetryPolicy.NEVER_AFTER_RUN),
                 repeat_group=get(head + "Group", "all"),
                 repeat_window_ms=number(get(head + "WindowMs", "0")),
                 pools=class_pools.get(index, ()),
@@ -154,7 +154,7 @@
     return found
 
 
-def report_from(text: str, between: str = ",") -> io.Report:
+def report_from(text: str, between: str = ",") -> io.LoadReport:
     """A load report; absent and negative figures are None, names not known are skipped."""
     figures: dict[str, float] = {}
     for part in [] if text == "-" else text.split(between):
@@ -165,7 +165,7 @@
         if known and value != "-" and number(value) >= 0:
             figures[known] = number(value)
     free, circuits = figures.pop("free", None), figures.pop("circuits", None)
-    return io.Report(
+    return io.LoadReport(
         free=None if free is None else int(free),
         circuits=None if circuits is None else int(circuits),
         **figures,
--- a/mintvalve/drill.py
+++ b/mintvalve/simulator_adapter.py
@@ -1,4 +1,4 @@
-"""Wire adapter: `python -m mintvalve.drill` speaks the bench's wire on standard input and output.
+"""Wire adapter: `python -m mintvalve.simulator_adapter` speaks the bench's wire on standard input and output.
 
 It parses, translates, hosts the instances, prints and flushes. It decides nothing.
 """
@@ -9,11 +9,16 @@
 from typing import TextIO
 
 from mintvalve import interface as io
-from mintvalve.choice import Controller
+from mintvalve.controller import Controller
 from mintvalve.settings import number, report_from, settings_from, whole
 
-STATES = {0: io.State.GONE, 1: io.State.READY, 2: io.State.DRAINING}
-LIST_KINDS = {0: io.ListKind.CHANGES, 1: io.ListKind.FULL, 2: io.ListKind.CACHED, 3: io.ListKind.FAILED}
+STATES = {0: io.ExchangeState.GONE, 1: io.ExchangeState.READY, 2: io.ExchangeState.DRAINING}
+LIST_KINDS = {
+    0: io.ListUpdateKind.CHANGES,
+    1: io.ListUpdateKind.FULL,
+    2: io.ListUpdateKind.CACHED,
+    3: io.ListUpdateKind.FAILED,
+}
 OUTCOMES = {
     0: io.Outcome.LINE_BUSY,
     1: io.Outcome.ENDED,
@@ -59,7 +64,7 @@
             return f"SCHEDULE {name} {action.after_ms:.3f} {action.token}"
         case io.Probe():
             return f"TEST {name} {action.address}"
-        case io.Tell():
+        case io.SendPeerMessage():
             return f"TELL {name} {action.peer} {action.content.hex() or '-'}"
         case io.Subscribe():
             return f"WATCH {name} 1"
@@ -67,7 +72,7 @@
             return f"DEBUG {name} {action.text}"
 
 
-class Drill:
+class SimulatorAdapter:
     """Hosts the instances and turns batches into replies."""
 
     def __init__(self) -> None:
@@ -131,7 +136,9 @@
         match word:
             case "UPDATE":
                 kind = LIST_KINDS[whole(p[2])]
-                return io.ListNews(kind, () if kind is io.ListKind.FAILED else self.lists[whole(p[4])])
+                return io.ExchangeListUpdate(
+                    kind, () if kind is io.ListUpdateKind.FAILED else self.lists[whole(p[4])]
+                )
             case "DEMAND":
                 bits = whole(p[11]) if len(p) > 11 else 0
                 return io.CallOffered(
@@ -147,10 +154,10 @@
                     was_cut=bool(bits & BIT_CUT),
                 )
             case "STREAMING":
-                return io.CallStands(int(p[2]), int(p[3]), p[4], number(p[5]))
+                return io.CallAnswered(int(p[2]), int(p[3]), p[4], number(p[5]))
             case "COMPLETED":
                 code = whole(p[8])
-                beyond = code == io.Clearing.TURNED_BACK_BEYOND_FULL
+                beyond = code == io.ClearingCause.TURNED_BACK_BEYOND_FULL
                 return io.AttemptEnded(
                     call=int(p[2]),
                     attempt=int(p[3]),
@@ -163,24 +170,24 @@
                     report=report_from(p[9]),
                 )
             case "SAMPLED":
-                return io.ReportHeard(
+                return io.LoadReported(
                     address=p[3],
                     ok=p[4] == "1",
                     answered=number(p[2]) > 0 or p[4] != "1",
                     report=report_from(p[5]),
                 )
             case "HEARD":
-                return io.PeerHeard(int(p[2]), b"" if p[3] == "-" else bytes.fromhex(p[3]))
+                return io.PeerMessageReceived(int(p[2]), b"" if p[3] == "-" else bytes.fromhex(p[3]))
             case "BELL":
-                return io.TimerRang(int(p[2]))
+                return io.TimerExpired(int(p[2]))
             case "CLIENT_GONE":
-                return io.CallerGone(int(p[2]))
+                return io.CallerLeft(int(p[2]))
         raise WireError(f"unknown message {word}")
 
 
 def run(source: TextIO, sink: TextIO) -> None:
     """Batches in, replies out, until the input ends."""
-    drill = Drill()
+    drill = SimulatorAdapter()
     batch, now = "", 0.0
     open_batch = False
     replies: list[str] = []
@@ -216,7 +223,7 @@
     try:
         run(sys.stdin, sys.stdout)
     except WireError as fault:
-        print(f"mintvalve.drill: {fault}", file=sys.stderr)
+        print(f"mintvalve.simulator_adapter: {fault}", file=sys.stderr)
         return 2
     return 0
 
--- a/tests/world.py
+++ b/tests/controller_harness.py
@@ -4,8 +4,8 @@
 
 from dataclasses import replace
 
-from mintvalve import choice
-from mintvalve.choice import Controller
+from mintvalve import controller as controller_module
+from mintvalve.controller import Controller
 from mintvalve.interface import (
     Action,
     AttemptEnded,
@@ -13,15 +13,15 @@
     CallOffered,
     Event,
     Exchange,
-    ListKind,
-    ListNews,
+    ListUpdateKind,
+    ExchangeListUpdate,
     Outcome,
-    Report,
-    ReportHeard,
+    LoadReport,
+    LoadReported,
     SetUp,
     Settings,
     Started,
-    State,
+    ExchangeState,
 )
 
 PLAIN = CallClass("plain", aim_ms=1000, deadline_ms=9000, worth=1.0, late_worth=0.25, holding_ms=10_000)
@@ -46,7 +46,7 @@
 )
 
 
-class World:
+class ControllerHarness:
     """One controller, its clock and its actions."""
 
     def __init__(self, settings: Settings = SETTINGS, seed: int = 1, cells: int = 4, free: int = 20) -> None:
@@ -55,49 +55,49 @@
         self.now = 1000.0
         self.serial = 100
         self.actions: list[Action] = []
-        self.do(Started())
-        self.listed(ListKind.CACHED, *[self.entry(cell) for cell in range(cells)])
+        self.handle(Started())
+        self.update_exchanges(ListUpdateKind.CACHED, *[self.entry(cell) for cell in range(cells)])
         for cell in range(1, cells):
-            self.room(cell, free)
+            self.report_group(cell, free)
 
     @staticmethod
-    def entry(cell: int, state: State = State.READY, born: float = 0.0) -> Exchange:
+    def entry(cell: int, state: ExchangeState = ExchangeState.READY, born: float = 0.0) -> Exchange:
         return Exchange(f"x{cell}", cell, state, "z", born)
 
-    def do(self, event: Event) -> list[Action]:
+    def handle(self, event: Event) -> list[Action]:
         actions = self.controller.handle(self.now, event)
         self.actions += actions
         return actions
 
-    def later(self, ms: float) -> None:
+    def advance(self, ms: float) -> None:
         """Time passes; the own timers rang in time meanwhile."""
         self.now += ms
-        self.controller.due = self.now + choice.CYCLE_MS
+        self.controller.due = self.now + controller_module.CYCLE_MS
 
-    def listed(self, kind: ListKind, *entries: Exchange) -> list[Action]:
-        return self.do(ListNews(kind, entries))
+    def update_exchanges(self, kind: ListUpdateKind, *entries: Exchange) -> list[Action]:
+        return self.handle(ExchangeListUpdate(kind, entries))
 
-    def room(self, cell: int, free: int, circuits: int = 20) -> list[Action]:
-        return self.do(ReportHeard(f"x{cell}", True, False, Report(free=free, circuits=circuits)))
+    def report_group(self, cell: int, free: int, circuits: int = 20) -> list[Action]:
+        return self.handle(LoadReported(f"x{cell}", True, False, LoadReport(free=free, circuits=circuits)))
 
-    def call(
+    def offer_call(
         self, to: int = 1, kind: str = "plain", number: str = "n", due: float = 3000.0, **more: object
     ) -> list[Action]:
         self.serial += 1
         offer = CallOffered(self.serial, kind, number, self.now + due, to)
-        return self.do(replace(offer, **more))  # type: ignore[arg-type]
+        return self.handle(replace(offer, **more))  # type: ignore[arg-type]
 
-    def ended(
+    def end_attempt(
         self,
         outcome: Outcome,
         at: int = 1,
         call: int | None = None,
         ended: bool = False,
         clearing: int = 0,
-        report: Report | None = None,
+        report: LoadReport | None = None,
         attempt: int = 0,
     ) -> list[Action]:
-        return self.do(
+        return self.handle(
             AttemptEnded(
                 call or self.serial,
                 attempt,
@@ -107,7 +107,7 @@
                 ended,
                 clearing,
                 0.0,
-                report or Report(),
+                report or LoadReport(),
             )
         )
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -17,16 +17,28 @@
 from wsproto import ConnectionType, WSConnection
 from wsproto import events as ws
 
-from mintvalve.core.calls import Call, CallOff, Ended, Left, Listed, News, Order, Room, Send, Stood, TurnAway
-from mintvalve.core.switchboard import Switchboard
-from mintvalve.interface import Exchange, Settings, State
+from mintvalve.core.calls import (
+    Call,
+    CancelAttempt,
+    AttemptEnded,
+    CallWithdrawn,
+    ExchangeListChanged,
+    CallEvent,
+    Command,
+    GroupStateChanged,
+    SendSetUp,
+    AttemptAnswered,
+    RefuseCall,
+)
+from mintvalve.core.call_manager import CallManager
+from mintvalve.interface import Exchange, Settings, ExchangeState
 from mintvalve.net.binary_front import BinaryFront
-from mintvalve.net.codec import Cause, Code, Decoder, Kind, Message, encode, release
+from mintvalve.net.codec import ReleaseCause, ParameterCode, Decoder, MessageType, Message, encode, release
 from mintvalve.net.connection import Connection, Listener
-from mintvalve.net.exchanges import Exchanges
+from mintvalve.net.exchange_links import ExchangeLinks
 from mintvalve.net.loop import Loop
 from mintvalve.net.websocket_front import Options, WebSocketFront
-from tests.world import SETTINGS
+from tests.controller_harness import SETTINGS
 
 RULES: Settings = replace(SETTINGS, release_wait_ms=250.0)
 ORIGIN = "http://desk.example"
@@ -43,40 +55,47 @@
         return self.ms
 
 
-class PlainDesk:
+class ScriptedDecisions:
     """Decides without cleverness: direct while attempts last, else refused with a hint."""
 
     def __init__(self, tries: int = 1, wait_ms: float = 60_000.0) -> None:
         self.tries, self.wait_ms = tries, wait_ms
-        self.news: list[News] = []
+        self.news: list[CallEvent] = []
         self.pause = 0.0  # ms before another attempt
         self.remind: Callable[[float, int], object] = lambda ms, call: None
         self.later: dict[int, Call] = {}
 
-    def pick(self, call: Call) -> list[Order]:
-        return [Send(call.number, f"x{call.request.destination}", self.wait_ms)]
+    def pick(self, call: Call) -> list[Command]:
+        return [SendSetUp(call.number, f"x{call.request.destination}", self.wait_ms)]
 
-    def report(self, news: News) -> list[Order]:
+    def report(self, news: CallEvent) -> list[Command]:
         self.news.append(news)
-        if isinstance(news, Ended) and not news.ended:
+        if isinstance(news, AttemptEnded) and not news.ended:
             call = news.attempt.call
             if call.attempts < self.tries and self.pause:
                 self.later[call.number] = call
                 self.remind(self.pause, call.number)
                 return []
-            return self.pick(call) if call.attempts < self.tries else [TurnAway(call.number, 750.0)]
+            return self.pick(call) if call.attempts < self.tries else [RefuseCall(call.number, 750.0)]
         return []
 
-    def tick(self, token: int) -> list[Order]:
+    def tick(self, token: int) -> list[Command]:
         if (call := self.later.pop(token, None)) is not None:
             return self.pick(call)
-        return [CallOff(token, 0)]
+        return [CancelAttempt(token, 0)]
 
-    def heard(self, kind: type[Stood] | type[Ended] | type[Left] | type[Listed] | type[Room]) -> list[News]:
+    def heard(
+        self,
+        kind: type[AttemptAnswered]
+        | type[AttemptEnded]
+        | type[CallWithdrawn]
+        | type[ExchangeListChanged]
+        | type[GroupStateChanged],
+    ) -> list[CallEvent]:
         return [each for each in self.news if isinstance(each, kind)]
 
 
-class StandIn:
+class FakeExchange:
     """An exchange of the tests: keeps what it is told and says what the test wants."""
 
     def __init__(self, loop: Loop, room: int = 20) -> None:
@@ -85,57 +104,57 @@
         self.decoders: dict[Connection, Decoder] = {}
         self.by_call: dict[int, Connection] = {}
         self.again: list[bytes] = []  # releases that also go out on the next connection
-        self.answering: Callable[[StandIn, Message], None] | None = None
+        self.answering: Callable[[FakeExchange, Message], None] | None = None
         self.listener = Listener(loop, "127.0.0.1", 0, self, 64)
 
     @property
     def address(self) -> tuple[str, int]:
         return self.listener.address
 
-    def opened(self, connection: Connection) -> None:
+    def on_opened(self, connection: Connection) -> None:
         self.decoders[connection] = Decoder()
-        connection.heard(1, False)  # an exchange lets those wait that say nothing
+        connection.on_messages_decoded(1, False)  # an exchange lets those wait that say nothing
         report = f"x0:{self.free};x1:20".encode()
-        connection.send(encode(Message(Kind.GROUP_STATE, 0, {Code.REPORT: report})))
+        connection.send(encode(Message(MessageType.GROUP_STATE, 0, {ParameterCode.REPORT: report})))
         for data in self.again:
             connection.send(data)
         self.again.clear()
 
-    def received(self, connection: Connection, data: bytes) -> None:
+    def on_data(self, connection: Connection, data: bytes) -> None:
         for message in self.decoders[connection].feed(data):
             self.heard.append(message)
-            if message.kind == Kind.SET_UP:
+            if message.kind == MessageType.SET_UP:
                 self.by_call[message.call] = connection
                 if self.answering is not None:
                     self.answering(self, message)
 
-    def closed(self, connection: Connection, reason: str) -> None:
+    def on_closed(self, connection: Connection, reason: str) -> None:
         self.decoders.pop(connection, None)
         self.listener.forget(connection)
 
-    def rank(self, connection: Connection) -> int:
+    def eviction_cost(self, connection: Connection) -> int:
         return -1
 
-    def turn_out(self, connection: Connection) -> None:
+    def evict(self, connection: Connection) -> None:
         raise AssertionError("no connection can be spared here")
 
-    def say(self, kind: Kind, call: int, parameters: dict[int, bytes] | None = None) -> None:
+    def say(self, kind: MessageType, call: int, parameters: dict[int, bytes] | None = None) -> None:
         self.by_call[call].send(encode(Message(kind, call, parameters or {})))
 
     def answer(self, call: int, description: bytes = b"here") -> None:
-        self.say(Kind.ANSWER, call, {Code.DESCRIPTION: description})
+        self.say(MessageType.ANSWER, call, {ParameterCode.DESCRIPTION: description})
 
-    def release(self, call: int, cause: Cause, note: str = "") -> None:
-        more: dict[int, bytes] = {Code.NOTE: note.encode()} if note else {}
-        self.say(Kind.RELEASE, call, {Code.CAUSE: bytes([cause]), **more})
+    def release(self, call: int, cause: ReleaseCause, note: str = "") -> None:
+        more: dict[int, bytes] = {ParameterCode.NOTE: note.encode()} if note else {}
+        self.say(MessageType.RELEASE, call, {ParameterCode.CAUSE: bytes([cause]), **more})
 
-    def end_call(self, call: int, cause: Cause) -> None:
+    def end_call(self, call: int, cause: ReleaseCause) -> None:
         """The end of a call that stands, as an exchange tells it: on the connection of its set-up or any open
         one, and again on the next that is opened."""
         data = release(call, cause)
         own = [self.by_call[call]] if call in self.by_call else []
         for each in [*own, *self.decoders]:
-            if each.open and each.send(data):
+            if each.is_open and each.send(data):
                 break
         self.again.append(data)
 
@@ -144,28 +163,28 @@
         return [(each.kind, each.cause) for each in self.heard if each.call == call]
 
 
-class Talker:
+class Client:
     """A caller's side of one connection: connects, keeps what it heard."""
 
     def __init__(self, rig: Rig, address: tuple[str, int]) -> None:
         self.rig, self.up, self.ended = rig, False, False
         self.connection = Connection.dial(rig.loop, *address, self, 5000.0)
-        rig.until(lambda: self.up)
+        rig.run_until(lambda: self.up)
 
-    def opened(self, connection: Connection) -> None:
+    def on_opened(self, connection: Connection) -> None:
         self.up = True
 
-    def received(self, connection: Connection, data: bytes) -> None:
+    def on_data(self, connection: Connection, data: bytes) -> None:
         raise NotImplementedError
 
-    def closed(self, connection: Connection, reason: str) -> None:
+    def on_closed(self, connection: Connection, reason: str) -> None:
         self.ended = True
 
     def hang_up(self) -> None:
-        self.connection.end("the caller is gone")
+        self.connection.close_now("the caller is gone")
 
 
-class Caller(Talker):
+class CallingClient(Client):
     """A caller on either front; `heard` is in the words that both share."""
 
     def __init__(self, rig: Rig) -> None:
@@ -189,30 +208,34 @@
         raise NotImplementedError
 
 
-class BinaryCaller(Caller):
+class BinaryClient(CallingClient):
     """A caller by the platform's protocol."""
 
     def __init__(self, rig: Rig, acknowledges: bool = False) -> None:
         self.decoder, self.messages = Decoder(), list[Message]()
         self.acknowledges = acknowledges
-        self.begin(rig, rig.front.listener.address)
+        self.begin(rig, rig.binary_front.listener.address)
 
-    def received(self, connection: Connection, data: bytes) -> None:
+    def on_data(self, connection: Connection, data: bytes) -> None:
         for message in self.decoder.feed(data):
             self.messages.append(message)
             name = f"{message.call:016x}"
             answered = any(each[:2] == ("answer", name) for each in self.heard)
             match message.kind:
-                case Kind.ANSWER:
-                    self.heard.append(("answer", name, message.parameters.get(Code.DESCRIPTION)))
-                case Kind.RELEASE if answered:
+                case MessageType.ANSWER:
+                    self.heard.append(("answer", name, message.parameters.get(ParameterCode.DESCRIPTION)))
+                case MessageType.RELEASE if answered:
                     self.heard.append(("release", name, message.cause))
                     if self.acknowledges:
-                        self.send(Kind.RELEASE_HEARD, message.call)
-                case Kind.RELEASE:
-                    refused = message.cause in (Cause.NO_CIRCUIT, Cause.CONGESTION, Cause.MOOT)
+                        self.send(MessageType.RELEASE_HEARD, message.call)
+                case MessageType.RELEASE:
+                    refused = message.cause in (
+                        ReleaseCause.NO_CIRCUIT,
+                        ReleaseCause.CONGESTION,
+                        ReleaseCause.MOOT,
+                    )
                     self.heard.append(("refused" if refused else "failed", name))
-                case Kind.PROGRESS:
+                case MessageType.PROGRESS:
                     self.heard.append(("progress", name))
 
     def send(self, kind: int, call: int, parameters: dict[int, bytes] | None = None) -> None:
@@ -228,22 +251,22 @@
     ) -> None:
         figures = f"dest:{to};width:1;via:-1".encode()
         self.send(
-            Kind.SET_UP,
+            MessageType.SET_UP,
             call,
             {
-                Code.CLASS: kind.encode(),
-                Code.WAIT: str(wait).encode(),
-                Code.CALLED: called.encode(),
-                Code.FIGURES: figures,
-                Code.DESCRIPTION: b"offer\0\xff",
+                ParameterCode.CLASS: kind.encode(),
+                ParameterCode.WAIT: str(wait).encode(),
+                ParameterCode.CALLED: called.encode(),
+                ParameterCode.FIGURES: figures,
+                ParameterCode.DESCRIPTION: b"offer\0\xff",
             },
         )
 
     def release(self, call: int) -> None:
-        self.connection.send(release(call, Cause.NORMAL))
+        self.connection.send(release(call, ReleaseCause.NORMAL))
 
 
-class WebCaller(Caller):
+class WebSocketClient(CallingClient):
     """A client of the WebSocket front, in the same words."""
 
     def __init__(self, rig: Rig, origin: str = ORIGIN, path: str = "/calls") -> None:
@@ -252,12 +275,12 @@
         self.parts = ""
         self.raw: list[dict[str, Any]] = []
         self.accepted, self.status, self.code = False, 0, 0
-        self.begin(rig, rig.web.listener.address)
+        self.begin(rig, rig.websocket_front.listener.address)
         request = ws.Request(host="here", target=path, extra_headers=[(b"origin", origin.encode())])
         self.connection.send(self.wire.send(request))
-        rig.until(lambda: self.accepted or self.status)
+        rig.run_until(lambda: self.accepted or self.status)
 
-    def received(self, connection: Connection, data: bytes) -> None:
+    def on_data(self, connection: Connection, data: bytes) -> None:
         self.wire.receive_data(data)
         for event in self.wire.events():
             match event:
@@ -316,35 +339,43 @@
 class Rig:
     """The controller's parts, joined as the program joins them, with a plain desk and stand-in exchanges."""
 
-    def __init__(self, exchanges: int = 2, desk: PlainDesk | None = None) -> None:
+    def __init__(self, exchanges: int = 2, desk: ScriptedDecisions | None = None) -> None:
         self.clock = Clock()
         self.loop = Loop(self.clock)
-        self.desk = desk or PlainDesk()
-        self.board = Switchboard(RULES, self.loop)
-        self.board.desk = self.desk
-        self.desk.remind = lambda ms, call: self.loop.after(ms, lambda: self.board.ring(call))
-        self.far = self.board.far = Exchanges(self.loop, self.board, 500.0, RULES.home)
-        self.stand_ins = [StandIn(self.loop) for _ in range(exchanges)]
-        self.listed(*[self.entry(cell) for cell in range(1, exchanges + 1)])
-        self.front = BinaryFront(self.loop, self.board, ("127.0.0.1", 0), 64, self.far.release_everywhere)
+        self.decisions = desk or ScriptedDecisions()
+        self.call_manager = CallManager(RULES, self.loop)
+        self.call_manager.decision_module = self.decisions
+        self.decisions.remind = lambda ms, call: self.loop.call_later(
+            ms, lambda: self.call_manager.on_timer(call)
+        )
+        self.exchange_links = self.call_manager.exchange_connections = ExchangeLinks(
+            self.loop, self.call_manager, 500.0, RULES.home
+        )
+        self.exchanges = [FakeExchange(self.loop) for _ in range(exchanges)]
+        self.set_exchanges(*[self.entry(cell) for cell in range(1, exchanges + 1)])
+        self.binary_front = BinaryFront(
+            self.loop, self.call_manager, ("127.0.0.1", 0), 64, self.exchange_links.release_everywhere
+        )
         options = Options("127.0.0.1:0", (ORIGIN,), outbound_bytes=8192)
-        self.web = WebSocketFront(self.loop, self.board, options, ("127.0.0.1", 0))
-        self.far.strange = self.front.strange
+        self.websocket_front = WebSocketFront(self.loop, self.call_manager, options, ("127.0.0.1", 0))
+        self.exchange_links.on_unknown_release = self.binary_front.release_unknown_call
         self.kept: list[socket.socket] = []
-        self.until(self.far.joined)
+        self.run_until(self.exchange_links.all_groups_reported)
 
     @staticmethod
-    def entry(cell: int, state: State = State.READY, born: float = 0.0) -> Exchange:
+    def entry(cell: int, state: ExchangeState = ExchangeState.READY, born: float = 0.0) -> Exchange:
         return Exchange(f"x{cell}", cell, state, "z", born)
 
-    def listed(self, *entries: Exchange) -> None:
-        self.board.listed(entries)
-        self.far.listed({each.address: self.stand_ins[each.cell - 1].address for each in entries})
+    def set_exchanges(self, *entries: Exchange) -> None:
+        self.call_manager.on_exchange_list(entries)
+        self.exchange_links.update_addresses(
+            {each.address: self.exchanges[each.cell - 1].address for each in entries}
+        )
 
-    def exchange(self, cell: int = 1) -> StandIn:
-        return self.stand_ins[cell - 1]
+    def exchange(self, cell: int = 1) -> FakeExchange:
+        return self.exchanges[cell - 1]
 
-    def until(self, done: Callable[[], object]) -> None:
+    def run_until(self, done: Callable[[], object]) -> None:
         """Turn until the condition holds."""
         end = time.monotonic() + PATIENCE_S
         while not done():
@@ -356,7 +387,7 @@
         for _ in range(5):
             self.loop.turn(1.0)
 
-    def later(self, ms: float, step: float = 50.0) -> None:
+    def advance(self, ms: float, step: float = 50.0) -> None:
         """Time passes in small steps, with turns in between."""
         end = self.clock.ms + ms
         while self.clock.ms < end:
@@ -378,9 +409,9 @@
     def close(self) -> None:
         for sock in self.kept:
             sock.close()
-        self.front.close()
-        self.web.close()
-        for each in self.stand_ins:
+        self.binary_front.stop_accepting()
+        self.websocket_front.stop_accepting()
+        for each in self.exchanges:
             each.listener.close()
         for key in list(self.loop.selector.get_map().values()):
             watched = key.fileobj
--- a/tests/test_gap.py
+++ b/tests/test_call_gap.py
@@ -2,18 +2,18 @@
 
 import pytest
 
-from mintvalve import choice
-from mintvalve.choice import Gap
+from mintvalve import controller as controller_module
+from mintvalve.controller import CallGap
 
 
-def engaged(t0: float = 100.0) -> Gap:
-    gap = Gap()
+def engaged(t0: float = 100.0) -> CallGap:
+    gap = CallGap()
     gap.engage(1000.0, t0)
     return gap
 
 
 def test_off_until_engaged() -> None:
-    gap = Gap()
+    gap = CallGap()
     gap.take(5.0)
     assert gap.passes(5.0, 0.0)
 
@@ -37,21 +37,21 @@
 def test_ratio_is_bounded_in_one_cycle() -> None:
     gap = engaged()
     gap.by_ratio(1000.0, 50.0)
-    assert gap.t == pytest.approx(100.0 * choice.RHO_MAX / choice.RHO_T)
+    assert gap.t == pytest.approx(100.0 * controller_module.RHO_MAX / controller_module.RHO_T)
 
 
 def test_rate_formula() -> None:
     gap = engaged(500.0)  # 2 a second
-    gap.by_rate(1000.0, choice.OMEGA_T + 1, 2000.0)  # one busy too many in 2 s: 1.5 a second
+    gap.by_rate(1000.0, controller_module.OMEGA_T + 1, 2000.0)  # one busy too many in 2 s: 1.5 a second
     assert gap.t == pytest.approx(1000.0 / 1.5)
-    gap.by_rate(1000.0, choice.OMEGA_T - 1, 2000.0)
+    gap.by_rate(1000.0, controller_module.OMEGA_T - 1, 2000.0)
     assert gap.t == pytest.approx(500.0)
 
 
 def test_rate_never_falls_to_nothing() -> None:
     gap = engaged(500.0)
     gap.by_rate(1000.0, 100.0, 1000.0)
-    assert gap.t <= 1000.0 / choice.RATE_MIN
+    assert gap.t <= 1000.0 / controller_module.RATE_MIN
 
 
 def test_a_new_gap_rescales_the_pending_release() -> None:
--- a/tests/test_calls_model.py
+++ b/tests/test_calls_model.py
@@ -3,10 +3,10 @@
 from hypothesis import settings, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from mintvalve.core.calls import Attempt, Call, CallState, Request
-from mintvalve.core.switchboard import Switchboard
-from mintvalve.facade import ModuleDesk
-from mintvalve.interface import Exchange, ListKind, Outcome, Report, State
+from mintvalve.core.calls import Attempt, Call, CallState, CallRequest
+from mintvalve.core.call_manager import CallManager
+from mintvalve.facade import DecisionFacade
+from mintvalve.interface import Exchange, ListUpdateKind, Outcome, LoadReport, ExchangeState
 from mintvalve.net.loop import Loop
 from tests.rig import RULES, Clock
 
@@ -23,36 +23,36 @@
         super().__init__()
         self.clock = Clock()
         self.loop = Loop(self.clock)
-        self.board = Switchboard(RULES, self.loop)
-        self.board.desk = ModuleDesk(RULES, 5, self.loop.now, self.remind)
-        self.board.far = self
+        self.board = CallManager(RULES, self.loop)
+        self.board.decision_module = DecisionFacade(RULES, 5, self.loop.now, self.remind)
+        self.board.exchange_connections = self
         self.calls: dict[int, Call] = {}
         self.heard: dict[int, list[tuple[str, float]]] = {}
         self.out: dict[int, Attempt] = {}  # by the call's own number
         self.paused: dict[int, float] = {}  # when a call's attempt timed out, was reset or cancelled
-        self.state = {f"x{cell}": State.READY for cell in range(4)}
-        self.list(ListKind.CACHED)
+        self.state = {f"x{cell}": ExchangeState.READY for cell in range(4)}
+        self.list(ListUpdateKind.CACHED)
         for cell in range(1, 4):
-            self.board.room(f"x{cell}", Report(free=9, circuits=9))
+            self.board.on_group_state(f"x{cell}", LoadReport(free=9, circuits=9))
 
     def remind(self, ms: float, token: int) -> None:
-        self.loop.after(ms, lambda: self.board.ring(token))
+        self.loop.call_later(ms, lambda: self.board.on_timer(token))
 
-    def list(self, kind: ListKind) -> None:
+    def list(self, kind: ListUpdateKind) -> None:
         told = [Exchange(name, int(name[1:]), state, "z") for name, state in self.state.items()]
-        self.board.listed(told, kind)
+        self.board.on_exchange_list(told, kind)
 
     # The exchanges' side.
 
     def set_up(self, attempt: Attempt) -> None:
         number, now = attempt.call.number, self.clock.ms
         assert number not in self.out, "two attempts out"
-        assert self.state[attempt.exchange] is State.READY, "to an exchange that drains or is gone"
+        assert self.state[attempt.exchange] is ExchangeState.READY, "to an exchange that drains or is gone"
         assert now >= self.paused.get(number, 0.0) + 250.0, "too soon after what may still hold circuits"
         assert not {"answered", "refused", "failed", "left"} & {word for word, _ in self.heard[number]}
         self.out[number] = attempt
 
-    def give_up(self, attempt: Attempt) -> None:
+    def cancel_set_up(self, attempt: Attempt) -> None:
         del self.out[attempt.call.number]
         self.paused[attempt.call.number] = self.clock.ms
 
@@ -65,25 +65,25 @@
         self.calls[call.number] = call
         self.heard.setdefault(call.number, []).append((word, self.clock.ms))
 
-    def taken(self, call: Call) -> None:
+    def on_accepted(self, call: Call) -> None:
         self.note(call, "taken")
 
-    def left(self, call: Call) -> None:
+    def on_withdrawn(self, call: Call) -> None:
         self.note(call, "left")
 
-    def progress(self, call: Call) -> None:
+    def on_progress(self, call: Call) -> None:
         self.note(call, "progress")
 
-    def answered(self, call: Call, description: bytes | None) -> None:
+    def on_answered(self, call: Call, description: bytes | None) -> None:
         self.note(call, "answered")
 
-    def refused(self, call: Call, retry_after_ms: float) -> None:
+    def on_refused(self, call: Call, retry_after_ms: float) -> None:
         self.note(call, "refused")
 
-    def failed(self, call: Call) -> None:
+    def on_failed(self, call: Call) -> None:
         self.note(call, "failed")
 
-    def released(self, call: Call, cut: bool) -> None:
+    def on_released(self, call: Call, cut: bool) -> None:
         self.note(call, "released")
 
     # The steps.
@@ -91,17 +91,17 @@
     @rule(to=st.integers(1, 3), wait=st.integers(20, 4000), dear=st.booleans(), transit=st.booleans())
     def offer(self, to: int, wait: int, dear: bool, transit: bool) -> None:
         kind = "dear" if dear else "plain"
-        self.board.offer(
-            Request(len(self.calls) + 1, kind, f"n{to}", wait, to, tandem=2, in_transit=transit), self
+        self.board.offer_call(
+            CallRequest(len(self.calls) + 1, kind, f"n{to}", wait, to, tandem=2, in_transit=transit), self
         )
 
     @rule(pick=st.integers(0, 99), stands=st.booleans())
     def answer(self, pick: int, stands: bool) -> None:
         if self.out:
             attempt = self.out.pop(sorted(self.out)[pick % len(self.out)])
-            self.board.stood(attempt, b"d")
+            self.board.on_answer(attempt, b"d")
             if not stands:
-                self.board.ended(attempt, Outcome.ENDED)
+                self.board.on_attempt_ended(attempt, Outcome.ENDED)
 
     @rule(pick=st.integers(0, 99), outcome=ENDS)
     def end(self, pick: int, outcome: Outcome) -> None:
@@ -109,18 +109,18 @@
             attempt = self.out.pop(sorted(self.out)[pick % len(self.out)])
             if outcome is Outcome.RESET:
                 self.paused[attempt.call.number] = self.clock.ms
-            self.board.ended(attempt, outcome)
+            self.board.on_attempt_ended(attempt, outcome)
 
     @rule(pick=st.integers(0, 99))
     def leave(self, pick: int) -> None:
         call = self.calls.get(1 + pick % max(len(self.calls), 1))
         if call is not None:
-            self.board.caller_released(call)
+            self.board.on_caller_release(call)
 
-    @rule(cell=st.integers(1, 3), state=st.sampled_from(State))
-    def change(self, cell: int, state: State) -> None:
+    @rule(cell=st.integers(1, 3), state=st.sampled_from(ExchangeState))
+    def change(self, cell: int, state: ExchangeState) -> None:
         self.state[f"x{cell}"] = state
-        self.list(ListKind.FULL)
+        self.list(ListUpdateKind.FULL)
 
     @rule(ms=st.sampled_from([1.0, 25.0, 60.0, 300.0, 1500.0]))
     def later(self, ms: float) -> None:
@@ -138,13 +138,13 @@
             call = self.calls[number]
             finals = [at for word, at in heard if word in ANSWERS]
             assert len(finals) <= 1, heard
-            assert finals or self.clock.ms <= call.came + call.request.wait_ms, "no answer in time"
-            assert all(at <= call.came + call.request.wait_ms for at in finals)
+            assert finals or self.clock.ms <= call.accepted_at + call.request.wait_ms, "no answer in time"
+            assert all(at <= call.accepted_at + call.request.wait_ms for at in finals)
             releases = [word for word, _ in heard if word == "released"]
             assert len(releases) <= 1 and (not releases or ("answered" in [word for word, _ in heard]))
             assert (call.state is CallState.TRYING) == (number in self.out)
         owed = [each for each in self.calls.values() if each.state in (CallState.HELD, CallState.TRYING)]
-        assert self.board.open == len(owed)
+        assert self.board.unanswered_calls == len(owed)
 
 
 Model.TestCase.settings = settings(derandomize=True, deadline=None, max_examples=80, stateful_step_count=40)
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -7,10 +7,10 @@
     FROM_CALLERS,
     FROM_EXCHANGES,
     MOST,
-    BadBytes,
-    Code,
+    ProtocolError,
+    ParameterCode,
     Decoder,
-    Kind,
+    MessageType,
     Message,
     encode,
     release,
@@ -18,7 +18,7 @@
 
 MESSAGES = st.builds(
     Message,
-    st.sampled_from(Kind),
+    st.sampled_from(MessageType),
     st.integers(0, 2**64 - 1),
     st.dictionaries(st.integers(0, 255), st.binary(max_size=60), max_size=5),
 )
@@ -41,8 +41,12 @@
 def test_any_bytes_are_messages_or_bad_bytes(data: bytes) -> None:
     try:
         for message in Decoder().feed(data):
-            message.text(Code.CLASS), message.whole(Code.WAIT, 0), message.fields(Code.FIGURES)
-    except BadBytes:
+            (
+                message.text(ParameterCode.CLASS),
+                message.whole(ParameterCode.WAIT, 0),
+                message.fields(ParameterCode.FIGURES),
+            )
+    except ProtocolError:
         pass
 
 
@@ -62,24 +66,28 @@
     ],
 )
 def test_what_is_no_message_is_bad(data: bytes) -> None:
-    with pytest.raises(BadBytes):
+    with pytest.raises(ProtocolError):
         list(Decoder().feed(data))
 
 
 def test_a_kind_that_is_never_sent_is_bad_before_its_message_is_whole() -> None:
     # Guards against noise that names a long message: all that follows would be waited for and swallowed.
-    for kinds, kind in ((FROM_CALLERS, 123), (FROM_CALLERS, Kind.ANSWER), (FROM_EXCHANGES, Kind.SET_UP)):
-        with pytest.raises(BadBytes):
+    for kinds, kind in (
+        (FROM_CALLERS, 123),
+        (FROM_CALLERS, MessageType.ANSWER),
+        (FROM_EXCHANGES, MessageType.SET_UP),
+    ):
+        with pytest.raises(ProtocolError):
             list(Decoder(kinds).feed(b"\x3f\0" + bytes([kind])))
 
 
 @pytest.mark.parametrize("text", ["soon", "nan", "1e9", "٣", "9" * 23, "9" * 400, "+5", "- 5"])
 def test_a_figure_that_means_nothing_is_bad(text: str) -> None:
     # 400 digits make a whole number that no float takes: the handler failed and its caller heard nothing.
-    with pytest.raises(BadBytes):
-        Message(Kind.SET_UP, 1, {Code.WAIT: text.encode()}).whole(Code.WAIT, 0)
+    with pytest.raises(ProtocolError):
+        Message(MessageType.SET_UP, 1, {ParameterCode.WAIT: text.encode()}).whole(ParameterCode.WAIT, 0)
 
 
 def test_no_message_is_longer_than_the_protocol_allows() -> None:
     with pytest.raises(ValueError):
-        encode(Message(Kind.ANSWER, 1, {Code.DESCRIPTION: bytes(MOST)}))
+        encode(Message(MessageType.ANSWER, 1, {ParameterCode.DESCRIPTION: bytes(MOST)}))
--- a/tests/test_connection_model.py
+++ b/tests/test_connection_model.py
@@ -37,14 +37,14 @@
 
     # The owner's side.
 
-    def opened(self, connection: Connection) -> None:
+    def on_opened(self, connection: Connection) -> None:
         raise AssertionError("it was open from the start")
 
-    def received(self, connection: Connection, data: bytes) -> None:
+    def on_data(self, connection: Connection, data: bytes) -> None:
         assert self.state is OPEN
         self.heard += data
 
-    def closed(self, connection: Connection, reason: str) -> None:
+    def on_closed(self, connection: Connection, reason: str) -> None:
         self.ends.append(reason)
 
     # The steps.
@@ -60,13 +60,13 @@
     @rule(data=st.binary(max_size=64))
     def finish(self, data: bytes) -> None:
         self.took += data if self.state is OPEN else b""
-        self.connection.finish(data)
+        self.connection.close_after_flush(data)
         self.state = FINISHING if self.state is OPEN else self.state
         self.follow()
 
     @rule()
     def end(self) -> None:
-        self.connection.end("here")
+        self.connection.close_now("here")
         self.state = CLOSED
 
     @precondition(lambda self: self.peer_open)
@@ -118,7 +118,7 @@
     def states_agree(self) -> None:
         assert self.connection.state is self.state
         assert self.took.startswith(self.arrived) and self.said.startswith(self.heard)
-        assert self.connection.queued - self.connection.written == len(self.connection.waiting)
+        assert self.connection.bytes_queued - self.connection.bytes_written == len(self.connection.waiting)
         assert len(self.ends) <= 1 and (self.state is CLOSED or not self.ends)
 
     def teardown(self) -> None:
@@ -128,7 +128,7 @@
                 self.turn()
             self.read()
             assert (self.heard, self.arrived) == (self.said, self.took)
-        self.connection.end("over")
+        self.connection.close_now("over")
         for _ in range(2):
             self.loop.turn(1.0)
         assert len(self.ends) == 1
--- a/tests/test_property.py
+++ b/tests/test_controller_model.py
@@ -5,25 +5,25 @@
 
 import pytest
 
-from mintvalve import choice
+from mintvalve import controller as controller_module
 from mintvalve.interface import (
     Action,
     AttemptEnded,
-    CallerGone,
+    CallerLeft,
     CallOffered,
-    CallStands,
-    Clearing,
+    CallAnswered,
+    ClearingCause,
     Fail,
-    ListKind,
+    ListUpdateKind,
     Outcome,
     Refuse,
-    Report,
+    LoadReport,
     SetTimer,
     SetUp,
-    State,
-    TimerRang,
+    ExchangeState,
+    TimerExpired,
 )
-from tests.world import SETTINGS, World
+from tests.controller_harness import SETTINGS, ControllerHarness
 
 BAD = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED)
 
@@ -41,9 +41,9 @@
         self.bad_at: dict[int, float] = {}
         self.told: dict[str, float] = {}
         self.trace: list[Action] = []
-        self.world = World(replace(SETTINGS, tells_wait=True), seed)
+        self.world = ControllerHarness(replace(SETTINGS, tells_wait=True), seed)
         self.judge(self.world.actions)
-        self.states = {cell: State.READY for cell in range(1, 4)}
+        self.states = {cell: ExchangeState.READY for cell in range(1, 4)}
 
     def judge(self, actions: list[Action]) -> None:
         now = self.world.now
@@ -65,7 +65,7 @@
                 self.out[call] = (action.address, now + action.timeout_ms, self.sends[call] - 1)
 
     def do(self, event: object) -> None:
-        self.judge(self.world.do(event))  # type: ignore[arg-type]
+        self.judge(self.world.handle(event))  # type: ignore[arg-type]
 
     def end(self, call: int, outcome: Outcome, clearing: int = 0, ended: bool = False) -> None:
         address, _, attempt = self.out.pop(call)
@@ -73,7 +73,7 @@
             self.bad_at[call] = self.world.now
         if ended:
             self.open.pop(call, None)
-        report = Report(free=self.rng.randrange(0, 12), circuits=20)
+        report = LoadReport(free=self.rng.randrange(0, 12), circuits=20)
         self.do(AttemptEnded(call, attempt, address, outcome, 30.0, ended, clearing, 0.0, report))
 
     def step(self) -> None:
@@ -81,7 +81,7 @@
         world.now += 5 * rng.randrange(1, 12)
         for due in sorted(t for t in self.timers if t[0] <= world.now):
             self.timers.remove(due)
-            self.do(TimerRang(due[1]))
+            self.do(TimerExpired(due[1]))
         for call, (_, expires, _) in list(self.out.items()):
             if expires <= world.now:
                 self.end(call, Outcome.TIMED_OUT)
@@ -110,17 +110,17 @@
             )
         elif kind == 3 and self.out:
             call = rng.choice(list(self.out))
-            self.do(CallStands(call, self.out[call][2], self.out[call][0], 40.0))
+            self.do(CallAnswered(call, self.out[call][2], self.out[call][0], 40.0))
             self.end(call, rng.choice((Outcome.ENDED, Outcome.RESET)), ended=True)
         elif kind == 4 and self.out:
             outcome, clearing = rng.choice(
                 (
-                    (Outcome.NOT_SET_UP, Clearing.TURNED_BACK),
-                    (Outcome.NOT_SET_UP, Clearing.PROCESSOR_FULL),
-                    (Outcome.NOT_SENT, Clearing.NO_CIRCUIT),
+                    (Outcome.NOT_SET_UP, ClearingCause.TURNED_BACK),
+                    (Outcome.NOT_SET_UP, ClearingCause.PROCESSOR_FULL),
+                    (Outcome.NOT_SENT, ClearingCause.NO_CIRCUIT),
                     (Outcome.UNREACHABLE, 0),
                     (Outcome.RESET, 0),
-                    (Outcome.LINE_BUSY, Clearing.NUMBER_BUSY),
+                    (Outcome.LINE_BUSY, ClearingCause.NUMBER_BUSY),
                     (Outcome.LINE_BUSY, 0),
                     (Outcome.CANCELLED, 0),
                 )
@@ -129,17 +129,17 @@
         elif kind == 5 and self.open:
             call = rng.choice(list(self.open))
             del self.open[call]
-            self.do(CallerGone(call))
+            self.do(CallerLeft(call))
         elif kind == 6:
-            self.judge(world.room(rng.randrange(1, 4), rng.randrange(0, 12)))
+            self.judge(world.report_group(rng.randrange(1, 4), rng.randrange(0, 12)))
         elif rng.random() < 0.2:
             cell = rng.randrange(1, 4)
-            state = rng.choice(list(State))
-            if state is State.READY:
+            state = rng.choice(list(ExchangeState))
+            if state is ExchangeState.READY:
                 self.told.pop(f"x{cell}", None)
             else:
                 self.told[f"x{cell}"] = world.now
-            self.judge(world.listed(ListKind.CHANGES, World.entry(cell, state)))
+            self.judge(world.update_exchanges(ListUpdateKind.CHANGES, ControllerHarness.entry(cell, state)))
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -152,7 +152,7 @@
     assert len(controller.calls) <= len(referee.open) + len(referee.out)
     assert len(controller.held) <= len(controller.calls)
     assert len(controller.numbers) <= 500 and len(controller.first_tries) <= 500
-    assert sum(hasattr(action, "text") for action in referee.trace) <= choice.KEEP_LINES
+    assert sum(hasattr(action, "text") for action in referee.trace) <= controller_module.KEEP_LINES
 
 
 def test_same_events_same_actions() -> None:
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -4,16 +4,16 @@
 
 import pytest
 
-from mintvalve.core.calls import Listed
-from mintvalve.facade import REARM_MS, ModuleDesk
-from mintvalve.interface import CallOffered, ListKind, TimerRang
-from tests.rig import RULES, BinaryCaller, Rig
+from mintvalve.core.calls import ExchangeListChanged
+from mintvalve.facade import REARM_MS, DecisionFacade
+from mintvalve.interface import CallOffered, ListUpdateKind, TimerExpired
+from tests.rig import RULES, BinaryClient, Rig
 
 
 class Failing:
     """In place of the module: fails on events of one type."""
 
-    def __init__(self, desk: ModuleDesk, kind: type) -> None:
+    def __init__(self, desk: DecisionFacade, kind: type) -> None:
         self.inner, self.kind = desk.controller, kind
         desk.controller = self  # type: ignore[assignment]
 
@@ -23,26 +23,26 @@
         return list(self.inner.handle(now, event))  # type: ignore[arg-type]
 
 
-def module_rig() -> tuple[Rig, ModuleDesk]:
+def module_rig() -> tuple[Rig, DecisionFacade]:
     """A rig whose desk is the real module, which is then told of the exchanges."""
     rig = Rig()
 
     def remind(ms: float, token: int) -> None:
-        rig.loop.after(ms, lambda: rig.board.ring(token))
+        rig.loop.call_later(ms, lambda: rig.call_manager.on_timer(token))
 
-    desk = ModuleDesk(RULES, 3, rig.loop.now, remind)
-    rig.board.desk = desk
-    desk.report(Listed(ListKind.FULL, tuple(rig.board.exchanges.values())))
+    desk = DecisionFacade(RULES, 3, rig.loop.now, remind)
+    rig.call_manager.decision_module = desk
+    desk.report(ExchangeListChanged(ListUpdateKind.FULL, tuple(rig.call_manager.exchanges.values())))
     return rig, desk
 
 
 def test_the_module_decides_over_sockets() -> None:
     rig, _ = module_rig()
-    caller = BinaryCaller(rig)
+    caller = BinaryClient(rig)
     caller.set_up(5)
-    rig.until(lambda: rig.exchange().by_call)
+    rig.run_until(lambda: rig.exchange().by_call)
     rig.exchange().answer(5)
-    rig.until(lambda: caller.heard)
+    rig.run_until(lambda: caller.heard)
     assert caller.heard == [("answer", f"{5:016x}", b"here")]
     rig.close()
 
@@ -51,10 +51,10 @@
     # Guards against a fault in the decisions that takes callers with it: the call fails, the program goes on.
     rig, desk = module_rig()
     Failing(desk, CallOffered)
-    caller = BinaryCaller(rig)
+    caller = BinaryClient(rig)
     with caplog.at_level(logging.ERROR):
         caller.set_up(5)
-        rig.until(lambda: caller.heard)
+        rig.run_until(lambda: caller.heard)
     assert caller.heard == [("failed", f"{5:016x}")]
     assert "the decision module failed" in caplog.text and "ArithmeticError" in caplog.text
     rig.close()
@@ -63,7 +63,7 @@
 def test_a_timer_on_which_the_module_fails_rings_again() -> None:
     # Guards against a module that never tunes its gaps again after one fault in a cycle.
     asked: list[tuple[float, int]] = []
-    desk = ModuleDesk(RULES, 3, lambda: 1000.0, lambda ms, token: asked.append((ms, token)))
-    Failing(desk, TimerRang)
+    desk = DecisionFacade(RULES, 3, lambda: 1000.0, lambda ms, token: asked.append((ms, token)))
+    Failing(desk, TimerExpired)
     asked.clear()
     assert desk.tick(0) == [] and asked == [(REARM_MS, 0)]
