--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -5,42 +5,50 @@
 
 import pytest
 
-from mintvalve.core.calls import Call, Ended
+from mintvalve.core.calls import Call, AttemptEnded
 from mintvalve.interface import Outcome
-from mintvalve.net.codec import Cause, Code, Kind, Message
+from mintvalve.net.codec import ReleaseCause, ParameterCode, MessageType, Message
 from mintvalve.net.connection import Connection, ConnectionState, Listener
-from tests.rig import BinaryCaller, Caller, PlainDesk, Rig, StandIn, Talker, WebCaller
+from tests.rig import (
+    BinaryClient,
+    CallingClient,
+    ScriptedDecisions,
+    Rig,
+    FakeExchange,
+    Client,
+    WebSocketClient,
+)
 
-FRONTS: list[type[Caller]] = [BinaryCaller, WebCaller]
-TEMPORARY, NORMAL = int(Cause.TEMPORARY), int(Cause.NORMAL)
+FRONTS: list[type[CallingClient]] = [BinaryClient, WebSocketClient]
+TEMPORARY, NORMAL = int(ReleaseCause.TEMPORARY), int(ReleaseCause.NORMAL)
 
 
 @pytest.fixture
 def rig() -> Iterator[Rig]:
-    rig = Rig(desk=PlainDesk(tries=2))
+    rig = Rig(desk=ScriptedDecisions(tries=2))
     yield rig
     rig.close()
 
 
-def by_number(stand_in: StandIn, message: Message) -> None:
+def by_number(stand_in: FakeExchange, message: Message) -> None:
     """What a stand-in depot switch does is told by the number called."""
     call = message.call
-    match message.text(Code.CALLED):
+    match message.text(ParameterCode.CALLED):
         case "free":
-            stand_in.say(Kind.PROGRESS, call)
+            stand_in.say(MessageType.PROGRESS, call)
             stand_in.answer(call, b"room\0\xfe")
         case "full":
-            stand_in.release(call, Cause.NO_CIRCUIT, "group_full")
+            stand_in.release(call, ReleaseCause.NO_CIRCUIT, "group_full")
         case "busy":
-            stand_in.release(call, Cause.BUSY, "user_busy")
+            stand_in.release(call, ReleaseCause.BUSY, "user_busy")
         case "moot":
-            stand_in.release(call, Cause.MOOT)
+            stand_in.release(call, ReleaseCause.MOOT)
         case "cut":
             stand_in.answer(call)
-            stand_in.release(call, Cause.TEMPORARY)
+            stand_in.release(call, ReleaseCause.TEMPORARY)
         case "short":
             stand_in.answer(call)
-            stand_in.release(call, Cause.NORMAL)
+            stand_in.release(call, ReleaseCause.NORMAL)
 
 
 SCRIPT: dict[str, list[tuple[object, ...]]] = {
@@ -54,13 +62,13 @@
 }
 
 
-def play(rig: Rig, caller: Caller, first_id: int) -> dict[str, list[tuple[object, ...]]]:
+def play(rig: Rig, caller: CallingClient, first_id: int) -> dict[str, list[tuple[object, ...]]]:
     """All calls of the script at once; what was heard of each, without its id."""
     ids = {number: first_id + place for place, number in enumerate(SCRIPT)}
     for number, call in ids.items():
         caller.set_up(call, called=number, wait=1500)
     rig.settle()
-    rig.later(1600)
+    rig.advance(1600)
     names = {f"{call:016x}": number for number, call in ids.items()}
     heard: dict[str, list[tuple[object, ...]]] = {number: [] for number in SCRIPT}
     for kind, name, *more in caller.heard:
@@ -72,10 +80,14 @@
     rig.exchange().answering = by_number
     played = [play(rig, front(rig), 100 * (place + 1)) for place, front in enumerate(FRONTS)]
     assert played[0] == played[1] == SCRIPT
-    heard = [each for each in rig.exchange().heard if each.kind == Kind.SET_UP]
+    heard = [each for each in rig.exchange().heard if each.kind == MessageType.SET_UP]
     sent = [
         sorted(
-            (each.text(Code.CLASS), each.text(Code.CALLED), each.parameters[Code.DESCRIPTION])
+            (
+                each.text(ParameterCode.CLASS),
+                each.text(ParameterCode.CALLED),
+                each.parameters[ParameterCode.DESCRIPTION],
+            )
             for each in heard
             if each.call // 100 == place
         )
@@ -88,125 +100,131 @@
 class TestEachFront:
     """One rule at a time, over each front."""
 
-    def test_a_refusal_comes_at_once_and_only_once(self, rig: Rig, front: type[Caller]) -> None:
+    def test_a_refusal_comes_at_once_and_only_once(self, rig: Rig, front: type[CallingClient]) -> None:
         rig.exchange().answering = by_number
         caller = front(rig)
         caller.set_up(5, called="full", wait=3000)
-        rig.until(lambda: caller.heard)  # the clock stands still: nothing waited for a deadline
-        rig.later(4000)
+        rig.run_until(lambda: caller.heard)  # the clock stands still: nothing waited for a deadline
+        rig.advance(4000)
         assert caller.heard == [("refused", f"{5:016x}")]
 
     def test_a_silent_exchange_is_answered_for_before_the_caller_gives_up(
-        self, rig: Rig, front: type[Caller]
+        self, rig: Rig, front: type[CallingClient]
     ) -> None:
         caller = front(rig)
         caller.set_up(5, wait=1000)
-        rig.until(lambda: rig.exchange().by_call)
-        rig.later(995, step=5.0)
+        rig.run_until(lambda: rig.exchange().by_call)
+        rig.advance(995, step=5.0)
         assert caller.heard == [("refused", f"{5:016x}")]
-        assert rig.exchange().kinds(5)[-1] == (Kind.RELEASE, Cause.NORMAL)
+        assert rig.exchange().kinds(5)[-1] == (MessageType.RELEASE, ReleaseCause.NORMAL)
 
-    def test_after_a_reset_the_next_attempt_waits(self, rig: Rig, front: type[Caller]) -> None:
+    def test_after_a_reset_the_next_attempt_waits(self, rig: Rig, front: type[CallingClient]) -> None:
         """A desk that sends again at once is held back by the core, whichever front the call came by."""
         caller = front(rig)
         caller.set_up(5)
-        rig.until(lambda: rig.exchange().by_call)
-        rig.exchange().release(5, Cause.TEMPORARY)
-        rig.until(lambda: caller.heard)
-        assert [each.outcome for each in rig.desk.news if isinstance(each, Ended)] == [
+        rig.run_until(lambda: rig.exchange().by_call)
+        rig.exchange().release(5, ReleaseCause.TEMPORARY)
+        rig.run_until(lambda: caller.heard)
+        assert [each.outcome for each in rig.decisions.news if isinstance(each, AttemptEnded)] == [
             Outcome.RESET,
             Outcome.NOT_SENT,
         ]
-        assert [kind for kind, _ in rig.exchange().kinds(5)] == [Kind.SET_UP]
+        assert [kind for kind, _ in rig.exchange().kinds(5)] == [MessageType.SET_UP]
 
-    def test_a_caller_that_leaves_mid_attempt_cancels_it(self, rig: Rig, front: type[Caller]) -> None:
+    def test_a_caller_that_leaves_mid_attempt_cancels_it(self, rig: Rig, front: type[CallingClient]) -> None:
         caller = front(rig)
         caller.set_up(5)
-        rig.until(lambda: rig.exchange().by_call)
+        rig.run_until(lambda: rig.exchange().by_call)
         caller.hang_up()
-        rig.until(lambda: (Kind.RELEASE, NORMAL) in rig.exchange().kinds(5))
-        assert not rig.board.calls and rig.board.open == 0
-        ended = [each for each in rig.desk.news if isinstance(each, Ended)]
+        rig.run_until(lambda: (MessageType.RELEASE, NORMAL) in rig.exchange().kinds(5))
+        assert not rig.call_manager.calls and rig.call_manager.unanswered_calls == 0
+        ended = [each for each in rig.decisions.news if isinstance(each, AttemptEnded)]
         assert [(each.outcome, each.ended) for each in ended] == [(Outcome.CANCELLED, True)]
 
-    def test_a_standing_call_outlives_its_connection(self, rig: Rig, front: type[Caller]) -> None:
+    def test_a_standing_call_outlives_its_connection(self, rig: Rig, front: type[CallingClient]) -> None:
         caller = front(rig)
         rig.exchange().answering = by_number
         caller.set_up(5, called="free")
-        rig.until(lambda: len(caller.heard) == 2)
+        rig.run_until(lambda: len(caller.heard) == 2)
         caller.hang_up()
         rig.settle()
-        assert len(rig.board.calls) == 1 and (Kind.RELEASE, NORMAL) not in rig.exchange().kinds(5)
+        assert len(rig.call_manager.calls) == 1 and (MessageType.RELEASE, NORMAL) not in rig.exchange().kinds(
+            5
+        )
 
-    def test_a_set_up_given_up_is_answered_no_more(self, rig: Rig, front: type[Caller]) -> None:
+    def test_a_set_up_given_up_is_answered_no_more(self, rig: Rig, front: type[CallingClient]) -> None:
         caller = front(rig)
         caller.set_up(5)
-        rig.until(lambda: rig.exchange().by_call)
+        rig.run_until(lambda: rig.exchange().by_call)
         caller.release(5)
-        rig.until(lambda: (Kind.RELEASE, NORMAL) in rig.exchange().kinds(5))
+        rig.run_until(lambda: (MessageType.RELEASE, NORMAL) in rig.exchange().kinds(5))
         rig.exchange().answer(5)
-        rig.later(3000)
+        rig.advance(3000)
         assert caller.heard == []
 
     def test_a_duplicate_id_from_another_caller_leaves_the_first_call_alone(
-        self, rig: Rig, front: type[Caller]
+        self, rig: Rig, front: type[CallingClient]
     ) -> None:
         caller, other = front(rig), front(rig)
         caller.set_up(5)
-        rig.until(lambda: rig.exchange().by_call)
+        rig.run_until(lambda: rig.exchange().by_call)
         other.set_up(5, called="another")
-        rig.until(lambda: other.heard or (isinstance(other, WebCaller) and other.errors))
+        rig.run_until(lambda: other.heard or (isinstance(other, WebSocketClient) and other.errors))
         rig.exchange().answer(5)
-        rig.until(lambda: caller.heard)
+        rig.run_until(lambda: caller.heard)
         assert caller.heard == [("answer", f"{5:016x}", b"here")]
-        assert [kind for kind, _ in rig.exchange().kinds(5)] == [Kind.SET_UP]
+        assert [kind for kind, _ in rig.exchange().kinds(5)] == [MessageType.SET_UP]
 
     def test_what_no_call_can_ask_for_is_an_error_and_goes_no_further(
-        self, rig: Rig, front: type[Caller]
+        self, rig: Rig, front: type[CallingClient]
     ) -> None:
         # Seen on a rude day: set-ups with id 0 went on, and exchanges closed the connection with all on it.
         for call, to, wait in ((0, 1, 3000), (6, 99, 3000), (7, 1, 10**9 - 1), (8, -3, 3000)):
             caller = front(rig)
             caller.set_up(call, to, wait)
-            rig.until(
+            rig.run_until(
                 lambda: (
                     caller.heard  # noqa: B023
                     or caller.ended  # noqa: B023
-                    or (isinstance(caller, WebCaller) and caller.errors)  # noqa: B023
+                    or (isinstance(caller, WebSocketClient) and caller.errors)  # noqa: B023
                 )
             )
             assert [each[0] for each in caller.heard] in ([], ["failed"])
-        assert not rig.exchange().by_call and not rig.board.calls
+        assert not rig.exchange().by_call and not rig.call_manager.calls
 
     def test_a_set_up_that_comes_as_the_program_ends_is_refused_at_once(
-        self, rig: Rig, front: type[Caller]
+        self, rig: Rig, front: type[CallingClient]
     ) -> None:
         # Seen on a day with restarts: taken between the last answers and the exit, and lost with it.
         caller = front(rig)
         caller.set_up(5)
-        rig.until(lambda: rig.exchange().by_call)
-        rig.board.turn_all_away()
+        rig.run_until(lambda: rig.exchange().by_call)
+        rig.call_manager.refuse_open_calls()
         caller.set_up(6)
-        rig.until(lambda: len(caller.heard) == 2)
+        rig.run_until(lambda: len(caller.heard) == 2)
         assert caller.heard == [("refused", f"{5:016x}"), ("refused", f"{6:016x}")]
-        assert not rig.board.calls and rig.board.open == 0 and 6 not in rig.exchange().by_call
+        assert (
+            not rig.call_manager.calls
+            and rig.call_manager.unanswered_calls == 0
+            and 6 not in rig.exchange().by_call
+        )
 
     def test_a_desk_that_falls_silent_or_fails_does_not_cost_the_answer(
-        self, rig: Rig, front: type[Caller]
+        self, rig: Rig, front: type[CallingClient]
     ) -> None:
         pick: Callable[..., list[object]] = lambda call: []  # noqa: E731
-        rig.desk.pick = pick  # type: ignore[assignment, method-assign]
+        rig.decisions.pick = pick  # type: ignore[assignment, method-assign]
         caller = front(rig)
         caller.set_up(5, wait=1000)
         rig.settle()
-        rig.later(990, step=5.0)
+        rig.advance(990, step=5.0)
         assert caller.heard == [("refused", f"{5:016x}")]
 
 
-class Silent(Talker):
+class Silent(Client):
     """Connects and says nothing."""
 
-    def received(self, connection: Connection, data: bytes) -> None:
+    def on_data(self, connection: Connection, data: bytes) -> None:
         raise AssertionError("nothing was asked")
 
 
@@ -215,11 +233,11 @@
     """Connections are bounded in number and time, and callers get in all the same."""
 
     @staticmethod
-    def listener(rig: Rig, front: type[Caller]) -> Listener:
-        return rig.front.listener if front is BinaryCaller else rig.web.listener
+    def listener(rig: Rig, front: type[CallingClient]) -> Listener:
+        return rig.binary_front.listener if front is BinaryClient else rig.websocket_front.listener
 
     def test_callers_that_keep_their_connection_for_good_make_room(
-        self, rig: Rig, front: type[Caller]
+        self, rig: Rig, front: type[CallingClient]
     ) -> None:
         # Seen on a churn day: 128 callers had asked once and stayed, and nobody else came in.
         listener = self.listener(rig, front)
@@ -228,109 +246,111 @@
         for call in range(1, 9):
             caller = front(rig)
             caller.set_up(call, called="free")
-            rig.until(lambda: len(caller.heard) == 2)  # noqa: B023
-            rig.later(300)
+            rig.run_until(lambda: len(caller.heard) == 2)  # noqa: B023
+            rig.advance(300)
         assert len(listener.connections) <= 3 and not caller.ended
 
     def test_a_caller_that_waits_for_its_answer_is_not_turned_out(
-        self, rig: Rig, front: type[Caller]
+        self, rig: Rig, front: type[CallingClient]
     ) -> None:
         self.listener(rig, front).room = 2
         first = front(rig)
         first.set_up(5, called="nobody answers")
-        rig.until(lambda: rig.exchange().by_call)
-        rig.later(300)
+        rig.run_until(lambda: rig.exchange().by_call)
+        rig.advance(300)
         for _ in range(3):
             Silent(rig, self.listener(rig, front).address)
-            rig.later(300)
+            rig.advance(300)
         rig.exchange().answer(5)
-        rig.until(lambda: first.heard)
+        rig.run_until(lambda: first.heard)
         assert not first.ended
 
-    def test_silent_connections_go_in_time_and_make_room_before(self, rig: Rig, front: type[Caller]) -> None:
+    def test_silent_connections_go_in_time_and_make_room_before(
+        self, rig: Rig, front: type[CallingClient]
+    ) -> None:
         listener = self.listener(rig, front)
         listener.room = 4
         silent = [Silent(rig, listener.address) for _ in range(8)]  # the last ones wait in the queue
-        rig.later(600)
+        rig.advance(600)
         caller = front(rig)
         rig.exchange().answering = by_number
         caller.set_up(5, called="free")
-        rig.until(lambda: caller.heard)
-        rig.later(2600)
+        rig.run_until(lambda: caller.heard)
+        rig.advance(2600)
         assert all(each.ended for each in silent) and not caller.ended
 
-    def test_what_is_never_whole_is_closed(self, rig: Rig, front: type[Caller]) -> None:
+    def test_what_is_never_whole_is_closed(self, rig: Rig, front: type[CallingClient]) -> None:
         # A message in part, and each second another byte of it.
         caller = front(rig)
-        caller.connection.send(b"\0\x40\1" if front is BinaryCaller else b"\x01\x81\0\0\0\0x")
+        caller.connection.send(b"\0\x40\1" if front is BinaryClient else b"\x01\x81\0\0\0\0x")
         for _ in range(3):
-            rig.later(1000)
-            caller.connection.send(b"\0" if front is BinaryCaller else b"\x00\x81\0\0\0\0x")
-        rig.until(lambda: caller.ended or caller.connection.state is ConnectionState.CLOSED)
+            rig.advance(1000)
+            caller.connection.send(b"\0" if front is BinaryClient else b"\x00\x81\0\0\0\0x")
+        rig.run_until(lambda: caller.ended or caller.connection.state is ConnectionState.CLOSED)
 
 
 def test_a_burst_of_one_caller_leaves_turns_to_the_others(rig: Rig) -> None:
     # Hundreds of set-ups at once: without turns, all of them go before the next caller's.
-    many, one = BinaryCaller(rig), BinaryCaller(rig)
+    many, one = BinaryClient(rig), BinaryClient(rig)
     for call in range(1, 201):
         many.set_up(call)
     one.set_up(999)
-    rig.until(lambda: 999 in rig.exchange().by_call)
-    order = [each.call for each in rig.exchange().heard if each.kind == Kind.SET_UP]
-    rig.until(lambda: len(rig.exchange().by_call) == 201)
+    rig.run_until(lambda: 999 in rig.exchange().by_call)
+    order = [each.call for each in rig.exchange().heard if each.kind == MessageType.SET_UP]
+    rig.run_until(lambda: len(rig.exchange().by_call) == 201)
     assert order.index(999) < 150
 
 
 def test_a_second_set_up_under_the_id_of_an_open_call_ends_its_connection(rig: Rig) -> None:
     # No answer could tell the two apart. Seen on a rude day: 200 of them at once, and no word to any.
-    caller = BinaryCaller(rig)
+    caller = BinaryClient(rig)
     caller.set_up(5)
     caller.set_up(5, called="another")
-    rig.until(lambda: caller.ended)
-    rig.until(lambda: not rig.board.calls)
+    rig.run_until(lambda: caller.ended)
+    rig.run_until(lambda: not rig.call_manager.calls)
 
 
 def test_a_caller_is_not_cut_off_with_an_open_set_up_however_many_others_fail(rig: Rig) -> None:
     # Seen on a day with restarts: callers of another controller came over with calls that end here, and
     # each eighth of those ended a connection with good set-ups open on it.
-    caller = BinaryCaller(rig)
+    caller = BinaryClient(rig)
     caller.set_up(500)
     for call in range(1, 20):
         caller.set_up(call, kind="nothing")
-    rig.until(lambda: len(caller.heard) == 19)
+    rig.run_until(lambda: len(caller.heard) == 19)
     rig.exchange().answer(500)
-    rig.until(lambda: ("answer", f"{500:016x}", b"here") in caller.heard)
+    rig.run_until(lambda: ("answer", f"{500:016x}", b"here") in caller.heard)
 
 
 def test_a_release_waits_for_a_caller_that_means_it(rig: Rig) -> None:
     # Guards against telling the end of a call to a client that only holds a connection.
-    caller = BinaryCaller(rig)
+    caller = BinaryClient(rig)
     caller.set_up(5)
-    rig.until(lambda: rig.exchange().by_call)
+    rig.run_until(lambda: rig.exchange().by_call)
     rig.exchange().answer(5)
-    rig.until(lambda: caller.heard)
+    rig.run_until(lambda: caller.heard)
     caller.hang_up()
-    rig.until(lambda: not rig.front.talks)
-    stranger = BinaryCaller(rig)
-    rig.until(lambda: rig.front.talks)
-    next(iter(rig.front.talks.values())).host = "elsewhere"
-    rig.exchange().release(5, Cause.NORMAL)
-    rig.until(lambda: len(rig.front.releases))
-    again = BinaryCaller(rig)
-    rig.until(lambda: again.heard)
+    rig.run_until(lambda: not rig.binary_front.sessions)
+    stranger = BinaryClient(rig)
+    rig.run_until(lambda: rig.binary_front.sessions)
+    next(iter(rig.binary_front.sessions.values())).host = "elsewhere"
+    rig.exchange().release(5, ReleaseCause.NORMAL)
+    rig.run_until(lambda: len(rig.binary_front.releases))
+    again = BinaryClient(rig)
+    rig.run_until(lambda: again.heard)
     assert again.heard == [("failed", f"{5:016x}")] and not stranger.heard  # this caller knows no such call
 
 
 def test_a_caller_that_comes_again_and_again_with_what_cant_be_taken_is_closed(rig: Rig) -> None:
-    caller = BinaryCaller(rig)
+    caller = BinaryClient(rig)
     for call in range(1, 400):
         caller.set_up(call, kind="nothing")
-    rig.until(lambda: caller.ended)
+    rig.run_until(lambda: caller.ended)
     assert 0 < len(caller.heard) <= 8 and {each[0] for each in caller.heard} == {"failed"}
 
 
-@pytest.mark.parametrize("kind", [BinaryCaller, WebCaller])
-def test_a_call_that_is_over_leaves_nothing_to_collect(rig: Rig, kind: type[Caller]) -> None:
+@pytest.mark.parametrize("kind", [BinaryClient, WebSocketClient])
+def test_a_call_that_is_over_leaves_nothing_to_collect(rig: Rig, kind: type[CallingClient]) -> None:
     # Guards against memory that only a collection over everything frees.
     caller = kind(rig)
     rig.exchange().answering = lambda stand_in, message: stand_in.answer(message.call)
@@ -339,15 +359,15 @@
     try:
         for call in (5, 6, 7):
             caller.set_up(call)
-            rig.until(lambda call=call: call in rig.board.known)  # type: ignore[misc]
-            rig.until(lambda call=call: ("answer", f"{call:016x}", b"here") in caller.heard)  # type: ignore[misc]
-        rig.exchange().end_call(5, Cause.NORMAL)
+            rig.run_until(lambda call=call: call in rig.call_manager.by_identity)  # type: ignore[misc]
+            rig.run_until(lambda call=call: ("answer", f"{call:016x}", b"here") in caller.heard)  # type: ignore[misc]
+        rig.exchange().end_call(5, ReleaseCause.NORMAL)
         caller.release(6)
-        rig.until(lambda: rig.board.known.keys() == {7})
-        rig.far.listed({})
-        rig.until(lambda: not rig.board.known)
-        rig.desk.news.clear()
-        rig.later(2500, step=250.0)
+        rig.run_until(lambda: rig.call_manager.by_identity.keys() == {7})
+        rig.exchange_links.update_addresses({})
+        rig.run_until(lambda: not rig.call_manager.by_identity)
+        rig.decisions.news.clear()
+        rig.advance(2500, step=250.0)
         assert [each for each in gc.get_objects() if isinstance(each, Call)] == []
     finally:
         gc.enable()
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -44,8 +44,8 @@
     def fail() -> None:
         raise RuntimeError("a fault of ours")
 
-    loop.soon(fail)
-    loop.soon(lambda: ran.append("next"))
+    loop.call_soon(fail)
+    loop.call_soon(lambda: ran.append("next"))
     loop.turn(1.0)
     loop.turn(1.0)
     assert ran == ["next"]
@@ -75,7 +75,7 @@
     for place, (when, drop, more) in enumerate(plan):
         deadline = deadlines.at(float(when), lambda when=when, place=place, more=more: act(when, place, more))  # type: ignore[misc]
         if drop:
-            deadline.drop()
+            deadline.cancel()
     deadlines.sweep(20.0)
     first = [(when, place) for place, (when, drop, _) in enumerate(plan) if not drop]
     assert ran == sorted(first)  # what was set meanwhile waits for the next turn
--- a/tests/test_form.py
+++ b/tests/test_module_size.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-MODULE = Path(__file__).parent.parent / "mintvalve" / "choice.py"
+MODULE = Path(__file__).parent.parent / "mintvalve" / "controller.py"
 
 
 def test_size_and_width() -> None:
--- a/tests/test_names.py
+++ b/tests/test_name_server_client.py
@@ -8,9 +8,16 @@
 import pytest
 import socket
 
-from mintvalve.interface import State
+from mintvalve.interface import ExchangeState
 from mintvalve.net.loop import Loop
-from mintvalve.net.names import ASK_MS, LOST_MS, Entry, Names, known_events, merged
+from mintvalve.net.name_server_client import (
+    ASK_MS,
+    LOST_MS,
+    ListedExchange,
+    NameServerClient,
+    known_events,
+    merged,
+)
 from tests.rig import Clock, Rig
 
 NAME = "_api._tcp.svc.local."
@@ -47,9 +54,9 @@
     }
     held = merged(known_events(known))
     assert {name: entry.exchange.state for name, entry in held.items()} == {
-        "a": State.READY,
-        "b": State.DRAINING,
-        "d": State.READY,
+        "a": ExchangeState.READY,
+        "b": ExchangeState.DRAINING,
+        "d": ExchangeState.READY,
     }
     assert (held["d"].address, held["d"].exchange.born_ms) == (("10.1.0.9", 7), 5.0)
 
@@ -61,8 +68,8 @@
         self.loop = Loop(Clock())
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.bind(("127.0.0.1", 0))
-        self.told: list[dict[str, Entry]] = []
-        self.names = Names(self.loop, self.sock.getsockname(), 1, self.told.append)
+        self.told: list[dict[str, ListedExchange]] = []
+        self.names = NameServerClient(self.loop, self.sock.getsockname(), 1, self.told.append)
 
     def reply(self, serial: int | None, *members: tuple[str, int, int], mangle: str = "") -> None:
         """One answer; members are (id, cell, priority)."""
@@ -113,7 +120,7 @@
     assert (entry.address, entry.exchange.cell, entry.exchange.state, entry.exchange.zone) == (
         ("10.1.0.9", 3868),
         1,
-        State.DRAINING,
+        ExchangeState.DRAINING,
         "east",
     )
     assert entry.exchange.born_ms == 12.0
--- a/tests/test_numbers.py
+++ b/tests/test_number_tables.py
@@ -11,9 +11,9 @@
 
 from mintvalve.analysis.caps import Caps
 from mintvalve.analysis.plan import Analysed, Cap, Choice, Plan, Route, Verdict
-from mintvalve.cli.verbs import cli
+from mintvalve.cli.commands import cli
 from mintvalve.config.faults import Unusable
-from mintvalve.config.numbers import read
+from mintvalve.config.number_tables import read
 
 EXAMPLES = Path(__file__).parent.parent / "docs" / "examples"
 MASTER, PREFIXES = ((EXAMPLES / name).read_text() for name in ("numbers.toml", "prefixes.csv"))
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -20,7 +20,7 @@
 from wsproto import ConnectionType, WSConnection
 from wsproto import events as ws
 
-from mintvalve.net.codec import Cause, Code, Decoder, Kind, Message, encode, release
+from mintvalve.net.codec import ReleaseCause, ParameterCode, Decoder, MessageType, Message, encode, release
 
 ROOT = Path(__file__).parent.parent
 PATIENCE_S = 30.0  # s; only a test that fails waits so long
@@ -41,7 +41,7 @@
     def meet(self, free: int = 9) -> Peer:
         sock, _ = self.server.accept()
         peer = Peer(sock)
-        peer.send(Kind.GROUP_STATE, 0, {Code.REPORT: f"x0:{free};x1:9".encode()})
+        peer.send(MessageType.GROUP_STATE, 0, {ParameterCode.REPORT: f"x0:{free};x1:9".encode()})
         return peer
 
 
@@ -154,14 +154,14 @@
 
 def set_up(caller: Peer, call: int, wait: int = 9000) -> None:
     caller.send(
-        Kind.SET_UP,
+        MessageType.SET_UP,
         call,
         {
-            Code.CLASS: b"stock-check",
-            Code.WAIT: str(wait).encode(),
-            Code.CALLED: b"7f3a",
-            Code.FIGURES: b"dest:1;width:1;via:-1",
-            Code.DESCRIPTION: b"what the caller says",
+            ParameterCode.CLASS: b"stock-check",
+            ParameterCode.WAIT: str(wait).encode(),
+            ParameterCode.CALLED: b"7f3a",
+            ParameterCode.FIGURES: b"dest:1;width:1;via:-1",
+            ParameterCode.DESCRIPTION: b"what the caller says",
         },
     )
 
@@ -175,27 +175,27 @@
 
 def test_a_call_from_its_test_to_its_release(program: Program) -> None:
     caller = program.caller()
-    caller.send(Kind.TEST, 1, {Code.CAUSE: b"\0"})
-    assert caller.next(Kind.TESTED).cause == 1
+    caller.send(MessageType.TEST, 1, {ParameterCode.CAUSE: b"\0"})
+    assert caller.next(MessageType.TESTED).cause == 1
     set_up(caller, 0x7F3A9C21E0B4D655)
-    heard = program.peer.next(Kind.SET_UP)
+    heard = program.peer.next(MessageType.SET_UP)
     assert heard.call == 0x7F3A9C21E0B4D655
-    assert heard.parameters[Code.DESCRIPTION] == b"what the caller says"
-    assert (heard.text(Code.CLASS), heard.text(Code.CALLED)) == ("stock-check", "7f3a")
-    assert 0 < heard.whole(Code.WAIT, 0) < 9000
-    program.peer.send(Kind.ANSWER, heard.call, {Code.DESCRIPTION: b"\0as it is\xff"})
-    assert caller.next(Kind.ANSWER).parameters == {Code.DESCRIPTION: b"\0as it is\xff"}
+    assert heard.parameters[ParameterCode.DESCRIPTION] == b"what the caller says"
+    assert (heard.text(ParameterCode.CLASS), heard.text(ParameterCode.CALLED)) == ("stock-check", "7f3a")
+    assert 0 < heard.whole(ParameterCode.WAIT, 0) < 9000
+    program.peer.send(MessageType.ANSWER, heard.call, {ParameterCode.DESCRIPTION: b"\0as it is\xff"})
+    assert caller.next(MessageType.ANSWER).parameters == {ParameterCode.DESCRIPTION: b"\0as it is\xff"}
     other = program.caller()  # a release may come on any connection
-    other.sock.sendall(release(heard.call, Cause.NORMAL))
-    assert program.peer.next(Kind.RELEASE).cause == Cause.NORMAL
+    other.sock.sendall(release(heard.call, ReleaseCause.NORMAL))
+    assert program.peer.next(MessageType.RELEASE).cause == ReleaseCause.NORMAL
 
 
 def test_bad_bytes_end_their_connection_and_nothing_else(program: Program) -> None:
     good, bad = program.caller(), program.caller()
     bad.sock.sendall(b"\0\0GET / HTTP/1.1\r\n\r\n")
     assert bad.sock.recv(100) == b""
-    good.send(Kind.TEST, 1, {Code.CAUSE: b"\0"})
-    assert good.next(Kind.TESTED).cause == 1
+    good.send(MessageType.TEST, 1, {ParameterCode.CAUSE: b"\0"})
+    assert good.next(MessageType.TESTED).cause == 1
 
 
 def test_the_name_server_is_heard_and_a_draining_exchange_gets_nothing_new(program: Program) -> None:
@@ -203,25 +203,29 @@
     for _ in range(2):  # the second query shows that the first answer has come
         program.names.answer(2, {"s-0": (0, 1, 0), "s-1": (1, program.exchange.port, 1)})
     set_up(caller, 5, wait=1000)
-    assert caller.next(Kind.RELEASE, Kind.ANSWER).cause in (Cause.CONGESTION, Cause.NO_CIRCUIT, Cause.MOOT)
+    assert caller.next(MessageType.RELEASE, MessageType.ANSWER).cause in (
+        ReleaseCause.CONGESTION,
+        ReleaseCause.NO_CIRCUIT,
+        ReleaseCause.MOOT,
+    )
     set_up(caller, 6, wait=1000)
-    assert caller.next(Kind.RELEASE, Kind.ANSWER).call == 6
-    assert not [each for each in program.peer.ready if each.kind == Kind.SET_UP]
+    assert caller.next(MessageType.RELEASE, MessageType.ANSWER).call == 6
+    assert not [each for each in program.peer.ready if each.kind == MessageType.SET_UP]
 
 
 def test_after_sigterm_what_was_taken_is_answered_and_the_program_ends(program: Program) -> None:
     caller = program.caller()
     set_up(caller, 5)
-    program.peer.next(Kind.SET_UP)
+    program.peer.next(MessageType.SET_UP)
     program.process.send_signal(signal.SIGTERM)
     late = program.caller()  # callers may still come for a while
     set_up(late, 6)
-    assert program.peer.next(Kind.SET_UP).call == 6
+    assert program.peer.next(MessageType.SET_UP).call == 6
     for call, connection in ((5, caller), (6, late)):
-        program.peer.send(Kind.ANSWER, call, {Code.DESCRIPTION: b"d"})
-        assert connection.next(Kind.ANSWER).call == call
-        program.peer.sock.sendall(release(call, Cause.NORMAL))
-        assert connection.next(Kind.RELEASE).cause == Cause.NORMAL
+        program.peer.send(MessageType.ANSWER, call, {ParameterCode.DESCRIPTION: b"d"})
+        assert connection.next(MessageType.ANSWER).call == call
+        program.peer.sock.sendall(release(call, ReleaseCause.NORMAL))
+        assert connection.next(MessageType.RELEASE).cause == ReleaseCause.NORMAL
     assert program.process.wait(PATIENCE_S) == 0
     log = program.process.communicate()[1]
     phases = [line.split("phase=")[1].split()[0] for line in log.splitlines() if "event=phase" in line]
@@ -232,7 +236,7 @@
     # Guards against an end by the signal's default, seen on a reload day; and against a bad new file.
     caller = program.caller()
     set_up(caller, 5)
-    program.peer.next(Kind.SET_UP)
+    program.peer.next(MessageType.SET_UP)
     program.logged("phase=serving")
     for bad in ({}, {**program.facts, "nameserver": "nowhere"}, {"nameserver": "h:1"}):
         program.config.write_text(json.dumps(bad))
@@ -244,19 +248,19 @@
     for _ in range(2):  # the second query shows that the first answer has come
         program.names.answer(2, {"s-0": (0, 1, 0), "s-1": (1, program.exchange.port, 1)})
     old.sock.close()
-    program.peer.send(Kind.ANSWER, 5, {Code.DESCRIPTION: b"d"})
-    assert caller.next(Kind.ANSWER).call == 5
+    program.peer.send(MessageType.ANSWER, 5, {ParameterCode.DESCRIPTION: b"d"})
+    assert caller.next(MessageType.ANSWER).call == 5
     set_up(caller, 6, wait=1000)  # the new server said that the exchange drains
-    assert caller.next(Kind.RELEASE, Kind.ANSWER).call == 6
-    assert not [each for each in program.peer.ready if each.kind == Kind.SET_UP]
+    assert caller.next(MessageType.RELEASE, MessageType.ANSWER).call == 6
+    assert not [each for each in program.peer.ready if each.kind == MessageType.SET_UP]
 
 
 def test_what_no_exchange_answers_is_refused_before_the_program_ends(program: Program) -> None:
     caller = program.caller()
     set_up(caller, 5)
-    program.peer.next(Kind.SET_UP)
+    program.peer.next(MessageType.SET_UP)
     program.process.send_signal(signal.SIGTERM)
-    assert caller.next(Kind.RELEASE).cause == Cause.CONGESTION
+    assert caller.next(MessageType.RELEASE).cause == ReleaseCause.CONGESTION
     assert program.process.wait(PATIENCE_S) == 0
 
 
@@ -293,17 +297,17 @@
                     elif isinstance(event, ws.TextMessage):
                         heard.append(json.loads(event.data))
                 if not heard:
-                    call = program.peer.next(Kind.SET_UP).call
-                    program.peer.send(Kind.ANSWER, call, {Code.DESCRIPTION: b"d"})
+                    call = program.peer.next(MessageType.SET_UP).call
+                    program.peer.send(MessageType.ANSWER, call, {ParameterCode.DESCRIPTION: b"d"})
 
         hear(1)
         assert heard == [{"type": "answer", "id": "00000000000000aa", "description": "ZA=="}]
-        program.peer.sock.sendall(release(0xAA, Cause.NORMAL))
+        program.peer.sock.sendall(release(0xAA, ReleaseCause.NORMAL))
         hear(2)
         assert heard[1] == {"type": "release", "id": "00000000000000aa", "cause": 16}
         caller = program.caller()
         set_up(caller, 5)
-        assert program.peer.next(Kind.SET_UP).call == 5
+        assert program.peer.next(MessageType.SET_UP).call == 5
     finally:
         program.close()
 
--- a/tests/test_delivery.py
+++ b/tests/test_release_delivery.py
@@ -9,7 +9,7 @@
 from hypothesis import settings, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from mintvalve.core.delivery import ACK_MS, MEANT_MS, MOST_SAYS, SLICE, SURE_MS, Deliveries
+from mintvalve.core.release_delivery import ACK_MS, MEANT_MS, MOST_SAYS, SLICE, SURE_MS, ReleaseDelivery
 
 KEEP_MS = 30_000.0
 
@@ -20,9 +20,9 @@
 
     host: str
     acknowledges: bool = False
-    proven: bool = False
-    open: bool = True
-    spoke_at: float = -math.inf
+    is_trusted: bool = False
+    is_open: bool = True
+    last_data_at: float = -math.inf
     unread: list[int] = field(default_factory=list)
 
 
@@ -31,39 +31,39 @@
 
     def __init__(self, keep_ms: float = KEEP_MS, most: int = 100, strangers: bool = True) -> None:
         self.now = 0.0
-        self.releases: Deliveries[Pipe] = Deliveries(self, keep_ms, most, strangers)
+        self.releases: ReleaseDelivery[Pipe] = ReleaseDelivery(self, keep_ms, most, strangers)
         self.read: dict[int, list[str]] = {}
         self.full: set[Pipe] = set()
         self.ends = 0
 
-    def say(self, way: Pipe, call: int, cause: int) -> bool:
-        if not way.open or way in self.full:
+    def write_release(self, way: Pipe, call: int, cause: int) -> bool:
+        if not way.is_open or way in self.full:
             return False
         way.unread.append(call)
         return True
 
     def pipe(self, host: str, acknowledges: bool = False, proven: bool = False) -> Pipe:
         way = Pipe(host, acknowledges, proven)
-        self.releases.opened(way, self.now)
+        self.releases.on_connection_opened(way, self.now)
         return way
 
     def owe(self, call: int, home: Pipe | None, host: str = "") -> None:
-        self.releases.owe(call, 16, home, home.host if home else host, self.now)
+        self.releases.enqueue_release(call, 16, home, home.host if home else host, self.now)
 
     def hear(self, way: Pipe, acknowledge: bool = True) -> list[int]:
         """Its side reads all that waits."""
         heard, way.unread = way.unread, []
         if heard:
-            way.spoke_at = self.now
+            way.last_data_at = self.now
         for call in heard:
             self.read.setdefault(call, []).append(way.host)
             if acknowledge and way.acknowledges:
-                self.releases.heard(call)
+                self.releases.on_acknowledged(call)
         return heard
 
     def close(self, way: Pipe) -> None:
-        way.open, way.unread = False, []
-        self.releases.closed(way, self.now)
+        way.is_open, way.unread = False, []
+        self.releases.on_connection_closed(way, self.now)
 
     def later(self, ms: float) -> None:
         end = self.now + ms
@@ -102,7 +102,7 @@
     home = town.pipe("a")
     town.owe(1, home)
     town.later(50.0)
-    home.spoke_at = town.now
+    home.last_data_at = town.now
     town.later(SURE_MS - 100.0)
     assert 1 in town.releases
     town.later(100.0)
@@ -123,7 +123,7 @@
     town = Town()
     home, stranger = town.pipe("a"), town.pipe("b")
     town.close(home)
-    town.releases.owe(1, 16, home, "a", town.now)
+    town.releases.enqueue_release(1, 16, home, "a", town.now)
     town.later(MEANT_MS - 50.0)
     assert stranger.unread == []
     known = town.pipe("c", acknowledges=True, proven=True)
@@ -138,7 +138,7 @@
     town.close(home)
     town.later(3 * MEANT_MS)
     assert other.unread == []
-    assert town.releases.rehome(1, other, town.now) and not town.releases.rehome(2, other, town.now)
+    assert town.releases.redirect(1, other, town.now) and not town.releases.redirect(2, other, town.now)
     assert town.hear(other) == [1] and town.empty()
 
 
@@ -186,7 +186,7 @@
         self.owed: dict[int, str] = {}
 
     def pick(self, number: int) -> Pipe | None:
-        alive = [each for each in self.pipes if each.open]
+        alive = [each for each in self.pipes if each.is_open]
         return alive[number % len(alive)] if alive else None
 
     @rule(host=st.sampled_from("abc"))
@@ -212,9 +212,9 @@
     def read(self, number: int, proven: bool) -> None:
         if (way := self.pick(number)) is not None:
             self.town.hear(way)
-            if proven and not way.proven:
-                way.proven = True
-                self.town.releases.proved(way, self.town.now)
+            if proven and not way.is_trusted:
+                way.is_trusted = True
+                self.town.releases.on_connection_trusted(way, self.town.now)
 
     @rule(number=st.integers(0, 9))
     def read_and_close_before_the_acknowledgement_arrives(self, number: int) -> None:
@@ -237,25 +237,25 @@
         assert not held.owed.keys() & held.said.keys()
         assert held.owed.keys() | held.said.keys() <= held.all.keys()
         assert sorted(held.all) == sorted(call for there in held.by_host.values() for call in there)
-        assert all(way.open for way in held.by_way) and all(way.open for way in held.ways)
+        assert all(way.is_open for way in held.by_way) and all(way.is_open for way in held.ways)
         assert all(release.says <= MOST_SAYS for release in held.all.values())
         lost = [call for call in self.owed if call not in held and call not in self.town.read]
         sure = [call for call in lost if self.owed[call] == "c"]
         assert lost == sure, "ended, and nobody has read it"
-        unread = {call for each in self.pipes if each.open for call in each.unread}
+        unread = {call for each in self.pipes if each.is_open for call in each.unread}
         assert set(sure) <= unread, "taken for sure, and not even in a connection that is open"
 
     def teardown(self) -> None:
         """Everybody comes back once, stays, and reads."""
         for each in self.pipes:
-            if each.open:
+            if each.is_open:
                 self.town.hear(each)
         back = [self.town.pipe(host, acknowledges=True) for host in "abc"]
         for _ in range(20):
             self.town.later(100.0)
             for each in [*self.pipes, *back]:
-                if each.open:
-                    each.spoke_at = self.town.now
+                if each.is_open:
+                    each.last_data_at = self.town.now
                     self.town.hear(each)
         for call, host in self.owed.items():
             assert host in self.town.read.get(call, []), f"{host} never heard of call {call}"
--- a/tests/test_release_model.py
+++ b/tests/test_release_model.py
@@ -3,8 +3,8 @@
 from hypothesis import settings, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
 
-from mintvalve.net.codec import Cause, Kind
-from tests.rig import BinaryCaller, Caller, Rig, WebCaller
+from mintvalve.net.codec import ReleaseCause, MessageType
+from tests.rig import BinaryClient, CallingClient, Rig, WebSocketClient
 
 
 class Model(RuleBasedStateMachine):
@@ -15,9 +15,9 @@
     def __init__(self) -> None:
         super().__init__()
         self.rig = Rig(exchanges=1)
-        self.callers: list[Caller] = []  # that read
-        self.deaf: list[Caller] = []
-        self.all: list[Caller] = []
+        self.callers: list[CallingClient] = []  # that read
+        self.deaf: list[CallingClient] = []
+        self.all: list[CallingClient] = []
         self.up: list[int] = []
         self.by_exchange: list[int] = []
         self.by_caller: list[int] = []
@@ -27,11 +27,11 @@
     @rule()
     def connect(self) -> None:
         if len(self.callers) < 4:
-            caller: Caller
+            caller: CallingClient
             if self.web:
-                caller = WebCaller(self.rig)
+                caller = WebSocketClient(self.rig)
             else:
-                caller = BinaryCaller(self.rig, acknowledges=len(self.all) % 2 == 0)
+                caller = BinaryClient(self.rig, acknowledges=len(self.all) % 2 == 0)
             self.callers.append(caller)
             self.all.append(caller)
 
@@ -43,9 +43,9 @@
         call, name = self.last, f"{self.last:016x}"
         exchange.answering = lambda stand_in, message: stand_in.answer(message.call)
         caller.set_up(call)
-        self.rig.until(lambda: call in self.rig.board.known)
+        self.rig.run_until(lambda: call in self.rig.call_manager.by_identity)
         while not any(each[1] == name for each in caller.heard if each[0] != "progress"):
-            self.rig.later(50.0)  # there may be no connection to the exchange for now
+            self.rig.advance(50.0)  # there may be no connection to the exchange for now
         if ("answer", name, b"here") in caller.heard:
             self.up.append(call)
 
@@ -54,7 +54,7 @@
     def end_by_exchange(self, number: int, settle: bool) -> None:
         call = self.up.pop(number % len(self.up))
         self.by_exchange.append(call)
-        self.rig.exchange().end_call(call, Cause.NORMAL)
+        self.rig.exchange().end_call(call, ReleaseCause.NORMAL)
         if settle:
             self.rig.settle()
 
@@ -64,7 +64,7 @@
         call = self.up.pop(number % len(self.up))
         caller = self.callers[number % len(self.callers)]
         caller.release(call)
-        self.rig.until(lambda: call not in self.rig.board.known)  # its word arrived
+        self.rig.run_until(lambda: call not in self.rig.call_manager.by_identity)  # its word arrived
         self.by_caller.append(call)
         if settle:
             self.rig.settle()
@@ -89,46 +89,52 @@
             if unread:
                 self.rig.loop.watch(connection.sock, 0, connection.ready)
                 self.rig.settle()
-            connection.end("the exchange closed it")
+            connection.close_now("the exchange closed it")
 
     @rule(ms=st.sampled_from([50.0, 400.0, 1100.0]))
     def later(self, ms: float) -> None:
-        self.rig.later(ms)
+        self.rig.advance(ms)
 
     def teardown(self) -> None:
         rig = self.rig
         for caller in self.deaf:
             caller.hang_up()
-        rig.later(1200.0, step=100.0)  # the longest pause between dials
-        rig.until(lambda: rig.exchange().decoders)
-        last: Caller = WebCaller(rig) if self.web else BinaryCaller(rig, acknowledges=True)
+        rig.advance(1200.0, step=100.0)  # the longest pause between dials
+        rig.run_until(lambda: rig.exchange().decoders)
+        last: CallingClient = WebSocketClient(rig) if self.web else BinaryClient(rig, acknowledges=True)
         self.all.append(last)
-        rig.until(lambda: not any(call in rig.board.known for call in self.by_exchange))
-        if isinstance(last, WebCaller):
+        rig.run_until(lambda: not any(call in rig.call_manager.by_identity for call in self.by_exchange))
+        if isinstance(last, WebSocketClient):
             for call in self.by_exchange:  # a client that comes back asks
                 last.send(type="follow", id=f"{call:016x}")
-        rig.later(1500.0, step=100.0)
+        rig.advance(1500.0, step=100.0)
         for call in self.by_exchange:
             told = [each for caller in self.all for each in self.releases(caller) if each == call]
             assert told, f"nobody heard that call {call} is over"
         for call in self.by_caller:
-            assert (Kind.RELEASE, Cause.NORMAL) in rig.exchange().kinds(call), f"call {call} stands there"
-        assert set(rig.board.known) == set(self.up)
+            assert (MessageType.RELEASE, ReleaseCause.NORMAL) in rig.exchange().kinds(call), (
+                f"call {call} stands there"
+            )
+        assert set(rig.call_manager.by_identity) == set(self.up)
         for call in self.up:
-            rig.exchange().end_call(call, Cause.NORMAL)
-        rig.later(65_000.0, step=5000.0)
-        link = rig.far.links["x1"]
-        assert not rig.board.calls and not rig.board.known and not rig.board.open
-        assert not link.flights.all and not link.flights.by_way and not link.flights.tainted
-        assert not len(link.releases) and not len(rig.front.releases)
-        assert not rig.web.sides and not len(rig.web.releases)
+            rig.exchange().end_call(call, ReleaseCause.NORMAL)
+        rig.advance(65_000.0, step=5000.0)
+        link = rig.exchange_links.links["x1"]
+        assert (
+            not rig.call_manager.calls
+            and not rig.call_manager.by_identity
+            and not rig.call_manager.unanswered_calls
+        )
+        assert not link.attempts.all and not link.attempts.by_way and not link.attempts.tainted
+        assert not len(link.releases) and not len(rig.binary_front.releases)
+        assert not rig.websocket_front.sides and not len(rig.websocket_front.releases)
         rig.close()
 
     @staticmethod
-    def releases(caller: Caller) -> list[int]:
-        if isinstance(caller, BinaryCaller):
-            return [each.call for each in caller.messages if each.kind == Kind.RELEASE]
-        assert isinstance(caller, WebCaller)
+    def releases(caller: CallingClient) -> list[int]:
+        if isinstance(caller, BinaryClient):
+            return [each.call for each in caller.messages if each.kind == MessageType.RELEASE]
+        assert isinstance(caller, WebSocketClient)
         return [int(each["id"], 16) for each in caller.raw if each["type"] == "release"]
 
 
--- a/tests/test_drill.py
+++ b/tests/test_simulator_adapter.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from mintvalve.drill import WireError, run
+from mintvalve.simulator_adapter import WireError, run
 from mintvalve.settings import report_from, settings_from
 
 SETTINGS = (
@@ -81,7 +81,7 @@
 
 def adapter(text: str, seed: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "mintvalve.drill"],
+        [sys.executable, "-m", "mintvalve.simulator_adapter"],
         input=text,
         capture_output=True,
         text=True,
--- a/tests/test_times.py
+++ b/tests/test_timetables.py
@@ -10,7 +10,7 @@
 import pytest
 from hypothesis import given, settings, strategies as st
 
-from mintvalve.analysis.times import DAY, Clocked, Span, Timetable, overlaps
+from mintvalve.analysis.timetables import DAY, Clocked, Span, Timetable, overlaps
 
 LONDON = ZoneInfo("Europe/London")
 YEAR = 2026  # clocks go forward on 29 March and back on 25 October
