--- a/mintvalve/config/applications.py
+++ b/mintvalve/config/applications.py
@@ -161,7 +161,7 @@
         ("Specifics.ClearWaitMs", read.release_wait_ms),
         ("Safety.ColdMs", read.cold_ms),
         ("Safety.DrainGraceMs", read.drain_grace_ms),
-        ("Safety.TipAfterMs", read.fall_ms),
+        ("Safety.TipAfterMs", read.overload_ms),
     ):
         if value < 0:
             found.append((path, "must not be negative"))
--- a/mintvalve/controller.py
+++ b/mintvalve/controller.py
@@ -1,9 +1,19 @@
-"""The decisions of mintvalve. Types, events and actions: mintvalve/interface.py.
-
-The mechanism is Langlois's call gapping (docs/design.md): first set-ups towards a pressed processor or an
-overflowing number keep a gap T, retuned each cycle. Routing is direct first, then the advised tandem, else
-the freest first leg, under a protective allowance. One `Controller` serves one signalling proxy; event in,
-list of actions out; time comes with the event and randomness from the seed. Times are in milliseconds.
+"""Decision module of the call controller: which calls are set up, on which route, held or refused.
+
+A `Controller` serves one signalling proxy. Its method `handle` takes one event and returns the actions to
+carry out; mintvalve/interface.py defines both. Time comes with the events and randomness from a seed, so
+that equal events lead to equal actions.
+
+Overload control is Langlois's call gapping (docs/design.md): set-ups towards an overloaded processor, or to a
+called number with all lines busy, keep a minimum interval (the call gap), which is retuned once a control
+cycle. Comments give the paper's symbols: T (interval of a gap), T0 (its initial value), rho (utilisation of a
+processor), omega (busy outcomes of a number in a cycle), an index T for a target; numbers in parentheses are
+the paper's equations. Calls are routed to the destination's own group first, then over the advised tandem,
+then over the tandem with the most free circuits on the first leg; trunk reservation (the protective
+allowance) keeps circuits for direct calls.
+
+Unless a name says otherwise, times are instants and durations in milliseconds (`_at`: instant on the clock of
+the events, `_ms`: duration), shares run from 0 to 1, and utilisation 1 is a fully used processor.
 """
 
 from __future__ import annotations
@@ -17,802 +27,1227 @@
 from mintvalve.interface import (
     Action,
     AttemptEnded,
+    CallAnswered,
     CallClass,
     CallerLeft,
     CallOffered,
-    CallAnswered,
     Cancel,
     ClearingCause,
     Event,
     Exchange,
+    ExchangeListUpdate,
+    ExchangeState,
     Fail,
     ListUpdateKind,
-    ExchangeListUpdate,
+    LoadReport,
+    LoadReported,
     Log,
     Outcome,
     PeerMessageReceived,
     Probe,
     Refuse,
     RetryPolicy,
-    LoadReport,
-    LoadReported,
+    SendPeerMessage,
     SetTimer,
     Settings,
     SetUp,
     Started,
-    ExchangeState,
     Subscribe,
-    SendPeerMessage,
     TimerExpired,
 )
 
-CYCLE_MS = 1000.0  # ms; feedback cycle: troubles last ten seconds or so, the design's 2 s is slow
-POLL_MS = 25.0  # ms; held calls are looked at again this often while there are any
-RHO_T = 0.85  # share; target utilisation of a far processor (paper, 3.3)
-RHO_ENGAGE = 1.15  # share; a gap engages at or above this utilisation
-RHO_RELEASE = 0.6  # share; and is taken off below this
-RHO_MAX = 2 * RHO_T  # share; one cycle doubles T at most: resends hold the figure up, T would run away
-FULL_T = 0.05  # share; target of set-ups ending 'processor full' where no load figure is to be had (design)
-WAIT_T = 0.2  # share of the shortest aim; processor wait that stands for the target utilisation
-T_SPAN = 10.0  # times; T stays under so many T0: a sender still gets through about a third of its calm flow
-RATE_GAIN = 0.05  # share a cycle; weight of a new rate in the calm one, which holds for some twenty cycles
-NO_NEWS = 0.6  # times; a gap whose target sent no news for a cycle shrinks so
-FLAT = 0.25  # share of the target; an end without any wait is taken to be here, so that T falls fast
-OMEGA_ENGAGE = 2  # calls a cycle; busy outcomes at which gapping of a number starts
-OMEGA_T = 1.0  # calls a cycle; target of busy outcomes for a gapped number: its lines stay nearly all in use
-RATE_MIN = 0.25  # calls a second; a gapped number is still tried this often, to see it free again
-T0_RATES = 3.0  # T0 without a reported capacity is one over so many times the own recent rate there (design)
-LOST_DELAYS = 4.0  # mean deviations over the usual delay; a later answer is overdue (as in TCP)
-LOST_MS = 150.0  # ms; and no sooner
-LOST_GAIN = 0.04  # share; weight of one more set-up in the share that is lost
-LOST_ON = 0.03  # share; from here on an overdue answer is taken to be lost, below it to be slow
-GIVE_UPS = 3  # attempts; later ones are waited for
-CREDIT = 5.0  # gaps; how far a class worth much more than the least may run ahead of the release time
-ALLOWANCE = 0.45  # times the root of a group's size: circuits kept for direct calls against tandem calls
-STALL_MS = 100.0  # ms; the own timers ring so late only if this proxy stood still
-STALE_MS = 3000.0  # ms; load figures older than this are not believed
-CYCLE_GAIN = 0.25  # share; weight of a cycle's figure in a smoothed one
-ASKED = 0.02  # share; a hold-back asked for that is smaller is noise
-DELAY_GAIN = 0.2  # share; weight of a new set-up delay in the smoothed one
-SILENT_MS = 1500.0  # ms; an end that left a set-up unanswered this long and said nothing since is silent
-SILENT_RUN = 3  # set-ups; so many in a row timed out without any word in between make an end silent, too
-SILENT_DELAYS = 4.0  # times the smoothed delay, if longer: a slow but living end is not silent
-FULL_PAUSE_MS = 200.0  # ms; nothing new towards a processor for this long after it said 'full'
-ANSWER_MS = 40.0  # ms; a held call is answered this long before its deadline
-OWN_TIMES = 2.0  # times the own calls a second: capacity of a processor where none is reported
-COLD_SAFETY = 0.8  # share of the cold budget that is used: capacity is judged, not known
-HOLD = 0.2  # share of the aim; a blocked call waits so long for a circuit or a gap, then the caller redials
-AWAY_MS = 250.0  # ms; a caller that is turned away is asked to stay away so long at the least
-BACK_MS = 2000.0  # ms; a tandem that turned a call back is passed over for that destination this long, and
-BACK_TIMES = 16.0  # times; doubled with each further one up to so many times: it may have no group there
-HAIRPIN = 0.5  # share of a group's circuits; with less free no call goes out on it to come back
-LOOKS = 12  # tandems; a blocked call looks at so many, from a moving start: bounded work in a large fleet
-ASK_RATE = 4.0  # a second; probes, and likewise words of peers, to one processor from all proxies together
-TELL_TAG = b"nc"  # first bytes of a message between proxies; others are passed over
-RING_CYCLE, RING_POLL, RING_LIST = 0, 1, 2  # tokens of the own timers
-KEEP_LINES = 200  # log lines over an instance's life
+# Overloads last about ten seconds, so that the design's cycle of 2 s would react too slowly.
+CYCLE_MS = 1000.0
+POLL_INTERVAL_MS = 25.0  # of held calls and of set-ups whose answer may be overdue
+
+TARGET_UTILISATION = 0.85  # rho_T of a remote processor (paper, 3.3)
+GAP_ON_UTILISATION = 1.15  # a gap is turned on at this utilisation or above
+GAP_OFF_UTILISATION = 0.6  # and off below this one
+# Lets a cycle double a gap at most: resent set-ups keep the utilisation up, and would stretch it without end.
+MAX_UTILISATION = 2 * TARGET_UTILISATION
+# Share of set-ups refused as 'processor full' that stands for the target where no load is reported (design).
+TARGET_FULL_SHARE = 0.05
+# Wait at a processor that stands for the target utilisation, as a share of the shortest aim of all classes.
+TARGET_WAIT_SHARE_OF_AIM = 0.2
+# Longest gap in initial gaps: a sender still gets about a third of its normal flow through.
+MAX_GAP_MULTIPLE = 10.0
+# Weight of a cycle in the rates and delays of normal operation, which so span some twenty cycles.
+BASELINE_WEIGHT = 0.05
+# Share of the target utilisation assumed after a cycle without report and set-up: the gap shrinks by it.
+NO_REPORT_LOAD_FACTOR = 0.6
+# Share of the target utilisation assumed of a processor without any wait: low, so that its gap shrinks fast.
+ZERO_WAIT_LOAD_SHARE = 0.25
+
+GAP_ON_BUSY_PER_CYCLE = 2  # busy outcomes in a cycle at which the gap of a number is turned on
+# omega_T, the target of busy outcomes of a gapped number: its lines stay nearly all in use.
+TARGET_BUSY_PER_CYCLE = 1.0
+MIN_CALLS_PER_S = 0.25  # a gapped number is still called this often, to notice that it is free again
+# Without a reported capacity, T0 is 1 / (this many times the own recent rate towards the target) (design).
+INITIAL_GAP_RATE_MULTIPLE = 3.0
+
+# An answer is overdue this many mean deviations after the mean delay (as TCP's retransmission time-out).
+OVERDUE_DEVIATIONS = 4.0
+MIN_OVERDUE_MS = 150.0  # no answer is overdue sooner
+LOST_SHARE_WEIGHT = 0.04  # weight of one set-up in the share of lost set-ups
+# Up to this share of lost set-ups, an overdue answer is taken to be slow; above it, to be lost.
+MIN_LOST_SHARE = 0.03
+FIRST_UNCANCELLED_ATTEMPT = 3  # the answer to this attempt of a call, and to later ones, is waited for
+
+# A call of a class worth far more than the least one may be sent so many gaps ahead of its time.
+MAX_CREDIT_GAPS = 5.0
+
+# Circuits that a group keeps for direct calls against tandem calls, per square root of the group's size.
+TRUNK_RESERVATION_FACTOR = 0.45
+MIN_STALL_MS = 100.0  # the own timers are this late only if this proxy itself was halted
+MAX_FIGURE_AGE_MS = 3000.0  # older load figures are not used
+CYCLE_WEIGHT = 0.25  # weight of one cycle in a smoothed rate or share
+MIN_HOLD_BACK_SHARE = 0.02  # an exchange that asks to hold back less reports noise
+DELAY_WEIGHT = 0.2  # weight of a new set-up delay in the smoothed one
+
+# An exchange is unresponsive if it left a set-up unanswered this long and sent nothing since.
+UNRESPONSIVE_MS = 1500.0
+UNRESPONSIVE_TIMEOUTS = 3  # also if so many set-ups in a row timed out without any response in between
+# Raises UNRESPONSIVE_MS to this many smoothed delays: an exchange that is only slow is not unresponsive.
+UNRESPONSIVE_DELAY_MULTIPLE = 4.0
+MIN_FULL_PAUSE_MS = 200.0  # no set-up goes to a processor for this long after it refused one as full
+DEADLINE_MARGIN_MS = 40.0  # a held call is refused or failed this long before its deadline
+
+# Capacity of a processor where none is reported, in times the calls offered to this proxy.
+ASSUMED_CAPACITY_MULTIPLE = 2.0
+USED_SHARE_OF_COLD_BUDGET = 0.8  # the capacity that the budget rests on is an estimate
+# A blocked call waits this share of its aim for a circuit or a gap; then the caller is to redial.
+MAX_HOLD_SHARE_OF_AIM = 0.2
+MIN_RETRY_AFTER_MS = 250.0  # shortest wait that a refused caller is asked for
+
+TANDEM_BACK_OFF_MS = 2000.0  # a tandem that refused a call is not used for that destination this long
+# Each further refusal doubles the back-off up to this multiple: the tandem may have no group there at all.
+MAX_TANDEM_BACK_OFF_MULTIPLE = 16.0
+# With less than this share of a group free, no call goes out on it to come back on the same group.
+MIN_FREE_SHARE_FOR_HAIRPIN = 0.5
+# For one blocked call, from a start that moves on: bounds the work in a large fleet.
+MAX_TANDEMS_EXAMINED = 12
+# Probes to one processor from all proxies together; peer messages to one proxy are limited alike.
+MAX_PROBES_PER_S = 4.0
+PEER_MESSAGE_TAG = b"nc"  # first bytes of a message between proxies; messages without it are ignored
+
+CYCLE_TIMER_TOKEN = 0
+POLL_TIMER_TOKEN = 1
+LIST_TIMER_TOKEN = 2
+MAX_LOG_LINES = 200  # in the life of a controller
 
 
 class CallGap:
-    """A call gap: off while T is 0, else a minimum time between first set-ups to one target."""
+    """A minimum interval (T) between the set-ups to one target, a processor or a number; off at 0."""
 
     def __init__(self) -> None:
-        self.t = self.floor = self.release = 0.0
-        self.ceiling = math.inf
+        self.interval_ms = self.min_interval_ms = self.next_set_up_at = 0.0
+        self.max_interval_ms = math.inf
+
+    def engage(self, now: float, initial_ms: float, max_multiple: float = math.inf) -> None:
+        """Turn the gap on with T0 (1), which is 1 ms or more.
+
+        T0 is also the shortest interval; the longest is `max_multiple` times T0.
+        """
+        self.interval_ms = self.min_interval_ms = max(initial_ms, 1.0)
+        self.max_interval_ms = max_multiple * self.min_interval_ms
+        self.next_set_up_at = now
 
-    def engage(self, now: float, t0: float, most: float = math.inf) -> None:
-        """Start at T0 (1), which is also the floor; T stays under `most` times T0."""
-        self.t = self.floor = max(t0, 1.0)
-        self.ceiling = most * self.floor
-        self.release = now
+    def allows_set_up(self, now: float, credit_gaps: float) -> bool:
+        """Whether a set-up may be sent now, or ahead of its time by up to `credit_gaps` intervals."""
+        return self.interval_ms == 0.0 or now >= self.next_set_up_at - credit_gaps * self.interval_ms
 
-    def passes(self, now: float, credit: float) -> bool:
-        """The release time has come, or is no more than `credit` gaps ahead."""
-        return self.t == 0.0 or now >= self.release - credit * self.t
+    def record_set_up(self, now: float) -> None:
+        """Move the next set-up on by T. One sent ahead of its time is so made up for by a longer wait."""
+        if self.interval_ms:
+            self.next_set_up_at = max(now, self.next_set_up_at) + self.interval_ms
 
-    def take(self, now: float) -> None:
-        """A set-up was sent: the release time moves on by T; what ran ahead on credit is paid back."""
-        if self.t:
-            self.release = max(now, self.release) + self.t
+    def set_interval(self, now: float, interval_ms: float) -> None:
+        """Change T within its limits, and the wait for the next set-up in the same ratio (4)."""
+        interval_ms = min(max(interval_ms, self.min_interval_ms), self.max_interval_ms)
+        self.next_set_up_at = now + max(0.0, self.next_set_up_at - now) * interval_ms / self.interval_ms
+        self.interval_ms = interval_ms
 
-    def retune(self, now: float, t_new: float) -> None:
-        """A new gap, and (4): pending release times shrink or stretch with it."""
-        t_new = min(max(t_new, self.floor), self.ceiling)
-        self.release = now + max(0.0, self.release - now) * t_new / self.t
-        self.t = t_new
+    def retune_to_utilisation(self, now: float, utilisation: float) -> None:
+        """Change the gap of a processor by the ratio of its utilisation (rho) to the target (2)."""
+        self.set_interval(now, self.interval_ms * min(utilisation, MAX_UTILISATION) / TARGET_UTILISATION)
 
-    def by_ratio(self, now: float, rho: float) -> None:
-        """(2), for processors."""
-        self.retune(now, self.t * min(rho, RHO_MAX) / RHO_T)
+    def retune_to_busy_calls(self, now: float, busy_calls: float, cycle_ms: float) -> None:
+        """Change the gap of a called number by its busy outcomes (omega) in a cycle (3).
 
-    def by_rate(self, now: float, omega: float, cycle_ms: float) -> None:
-        """(3), for lines."""
-        rate = 1.0 / self.t + (OMEGA_T - omega) / cycle_ms  # z = 1 (design)
-        self.retune(now, 1.0 / max(rate, RATE_MIN / 1000.0))
+        The rate falls by one call a cycle for each busy outcome over the target, but stays at
+        MIN_CALLS_PER_S or above. The paper's factor z is 1 (design).
+        """
+        set_ups_per_ms = 1.0 / self.interval_ms + (TARGET_BUSY_PER_CYCLE - busy_calls) / cycle_ms
+        self.set_interval(now, 1.0 / max(set_ups_per_ms, MIN_CALLS_PER_S / 1000.0))
 
 
 class RemoteExchange:
-    """What this proxy knows of one exchange's processor and of the own group towards it."""
+    """State kept of one exchange: its processor, the own group towards it and the set-ups sent there.
+
+    The own processor is kept in the same form, under an empty address.
+    """
 
     def __init__(self, entry: Exchange) -> None:
         self.address, self.cell, self.zone = entry.address, entry.cell, entry.zone
-        self.title = f"exchange {entry.cell}" if entry.address else "own processor"
-        self.state, self.born = ExchangeState.READY, entry.born_ms
-        self.free = math.inf  # until told
-        self.free_at = -math.inf  # when it was
-        self.circuits = 0
+        self.display_name = f"exchange {entry.cell}" if entry.address else "own processor"
+        self.state, self.up_since = ExchangeState.READY, entry.up_since_ms
+        self.free_circuits = math.inf  # of the own group; unlimited until reported
+        self.free_circuits_at = -math.inf  # time of the report
+        self.circuits = 0  # size of the own group; 0 until reported
         self.gap = CallGap()
         self.report, self.report_at = LoadReport(), -math.inf
-        self.delay, self.delay_at = 0.0, -math.inf
-        self.sent = self.fulls = self.run = 0
-        self.rate = self.full_share = 0.0
-        self.out: dict[int, float] = {}  # call -> when its set-up went out
-        self.overdue: dict[int, float] = {}  # the same of those that were called off unanswered
-        self.heard = self.last_sent = self.pause_until = self.asked = -math.inf
-        self.back: dict[int, tuple[float, float]] = {}  # destination -> passed over until, and for how long
-        self.cold_log: deque[float] = deque()
-        self.room_map, self.told_map_at = 0, -math.inf  # its proxy's word: bit n, room towards exchange n
-
-    def hear(self, now: float, report: LoadReport) -> None:
-        """Figures of the group (true now) and of the processor (late)."""
+        self.delay_ms, self.delay_at = 0.0, -math.inf
+        # Set-ups sent and 'processor full' refusals of this cycle; time-outs since the last response.
+        self.set_ups_sent = self.full_refusals = self.consecutive_timeouts = 0
+        self.set_ups_per_s = self.full_refusal_share = (
+            0.0  # smoothed over cycles; the rate only without a gap
+        )
+        # Call to the time its set-up was sent, oldest first; cancelled ones may still be answered.
+        self.outstanding_set_ups: dict[int, float] = {}
+        self.cancelled_set_ups: dict[int, float] = {}
+        self.last_response_at = self.last_set_up_at = self.pause_until = self.last_probe_at = -math.inf
+        # As a tandem: destination to the end and the duration of the back-off.
+        self.back_off_by_destination: dict[int, tuple[float, float]] = {}
+        self.cold_set_up_times: deque[float] = deque()  # within the last window while the processor is cold
+        # Told by the proxy of this exchange: bit n is set if it has circuits to spare towards exchange n.
+        self.spare_cell_bits, self.spare_cell_bits_at = 0, -math.inf
+
+    def record_report(self, now: float, report: LoadReport) -> None:
+        """Keep the figures of the group, which are current, and of the processor, which come late.
+
+        Figures that the report lacks stay as they are.
+        """
         if report.free is not None:
-            self.free, self.free_at = report.free, now
+            self.free_circuits, self.free_circuits_at = report.free, now
         self.circuits = self.circuits if report.circuits is None else report.circuits
         if (report.utilisation, report.wait_ms, report.capacity, report.hold_back) != (None,) * 4:
             self.report, self.report_at = report, now
 
-    def answered(self, now: float, elapsed: float) -> None:
-        """A set-up delay of this exchange's own; old knowledge does not weigh on it."""
-        fresh = now - self.delay_at < STALE_MS
-        self.delay = self.delay + DELAY_GAIN * (elapsed - self.delay) if fresh else elapsed
+    def record_delay(self, now: float, elapsed_ms: float) -> None:
+        """Smooth the delay of a set-up that this exchange itself answered; an old average is replaced."""
+        fresh = now - self.delay_at < MAX_FIGURE_AGE_MS
+        self.delay_ms = self.delay_ms + DELAY_WEIGHT * (elapsed_ms - self.delay_ms) if fresh else elapsed_ms
         self.delay_at = now
 
-    def lag(self, now: float, fresh_ms: float) -> float:
-        """Set-up delay to expect: the smoothed one while fresh, or, speaking sooner, the oldest one's age."""
-        age = now - next(iter(self.out.values()), now)
-        return max(age, self.delay if now - self.delay_at < fresh_ms else 0.0)
-
-    def alive(self, now: float, call: int = -1) -> list[int]:
-        """A word from this end. Processors work in turn: older set-ups still out were overtaken, are lost or
-        stuck beyond this processor, so they say nothing of it. Guards against lost set-ups, tandem calls to a
-        hung end, and one hung end pressing the own processor; could hide a class of work that waits alone."""
-        self.heard, self.run = now, 0
-        sent = self.out.pop(call, -math.inf)
-        passed = [each for known in (self.overdue, self.out) for each, since in known.items() if since < sent]
-        for each in passed:
-            self.overdue.pop(each, None)
-            self.out.pop(each, None)
-        return passed
-
-    def silent(self, now: float) -> bool:
-        """A set-up is out unanswered for long, or a run of them timed out, and nothing was heard since.
-        Guards against hung, crashed and cut-off ends, which the list shows late or never; the run keeps the
-        state up once the first batch has timed out. Could hurt a far end that is only very slow."""
-        if self.run >= SILENT_RUN or not self.out:
-            return self.run >= SILENT_RUN
-        since = max(next(iter(self.out.values())), self.heard)
-        return now - since > max(SILENT_MS, SILENT_DELAYS * self.delay)
-
-    def rho(self, now: float, own_part: float, wait_t: float) -> float:
-        """Utilisation: reported, else another figure, else the own set-up delay, else the full share."""
-        if self.silent(now):
-            return RHO_T  # its gap stays; trials are paced by their answers
-        # One figure acts once: taken again each cycle, a bad one stretched T to its ceiling, and behind a
-        # long T no new one came. Could hurt where figures come seldom: T then drifts down and is set again.
-        fresh = self.report if now - self.report_at < CYCLE_MS else LoadReport()
-        if fresh.utilisation is not None:
-            return fresh.utilisation
-        lag = self.lag(now, CYCLE_MS)
-        wait = max(0.0, lag - own_part) if lag else None
-        if fresh.capacity:
-            wait = 1000.0 / fresh.capacity  # what it can take next says how far it is behind
-        wait = wait if fresh.wait_ms is None else fresh.wait_ms
-        by_wait = 0.0 if wait is None else RHO_T * (FLAT + (1 - FLAT) * wait / wait_t)
-        if fresh.hold_back is not None:  # a late 0 does not deny the delay that is seen
-            most = max(1.0 - fresh.hold_back, RHO_T / RHO_MAX)
-            return max(RHO_T / most if fresh.hold_back > ASKED else RHO_T / 2, by_wait)
-        if wait is not None:
-            return by_wait
-        return RHO_T * (self.full_share / FULL_T if self.sent else NO_NEWS)
+    def expected_delay_ms(self, now: float, max_age_ms: float) -> float:
+        """Expected delay of a set-up: the smoothed one up to `max_age_ms` old, or the longest wait so far.
+
+        The age of the oldest unanswered set-up shows a slowdown before its answer does.
+        """
+        oldest_wait_ms = now - next(iter(self.outstanding_set_ups.values()), now)
+        return max(oldest_wait_ms, self.delay_ms if now - self.delay_at < max_age_ms else 0.0)
+
+    def record_response(self, now: float, call: int = -1) -> list[int]:
+        """Note a response of this processor to the set-up of `call`, and return the calls it overtook.
+
+        A processor works on set-ups in order of arrival. Older ones that are still outstanding are lost, or
+        stuck at a processor beyond this one, so they are no longer counted here. Guards against delays read
+        from lost set-ups, from tandem calls to an exchange that hangs, and, for the own processor, from one
+        exchange that hangs. Drawback: hides a class of calls that alone waits at the processor.
+        """
+        self.last_response_at, self.consecutive_timeouts = now, 0
+        sent_at = self.outstanding_set_ups.pop(call, -math.inf)
+        overtaken_calls = [
+            other_call
+            for sent_times in (self.cancelled_set_ups, self.outstanding_set_ups)
+            for other_call, other_sent_at in sent_times.items()
+            if other_sent_at < sent_at
+        ]
+        for other_call in overtaken_calls:
+            self.cancelled_set_ups.pop(other_call, None)
+            self.outstanding_set_ups.pop(other_call, None)
+        return overtaken_calls
+
+    def is_unresponsive(self, now: float) -> bool:
+        """Whether set-ups are unanswered for long, or timed out in a row, without a response since.
+
+        Guards against exchanges that hang, crashed or are cut off, which the exchange list shows late or
+        never. The count of time-outs keeps the state once the first set-ups have timed out and none is
+        outstanding. Drawback: an exchange that is only very slow may count as unresponsive.
+        """
+        if self.consecutive_timeouts >= UNRESPONSIVE_TIMEOUTS or not self.outstanding_set_ups:
+            return self.consecutive_timeouts >= UNRESPONSIVE_TIMEOUTS
+        waiting_since = max(next(iter(self.outstanding_set_ups.values())), self.last_response_at)
+        return now - waiting_since > max(UNRESPONSIVE_MS, UNRESPONSIVE_DELAY_MULTIPLE * self.delay_ms)
+
+    def estimate_utilisation(self, now: float, shared_delay_ms: float, target_wait_ms: float) -> float:
+        """Estimate the processor's utilisation (rho) in the last cycle.
+
+        In this order: the reported utilisation; the share of set-ups it asks to hold back, or more if the
+        wait shows more; the wait (reported, else from the reported capacity, else from the set-up delay
+        beyond `shared_delay_ms`) relative to `target_wait_ms`; the share of set-ups refused as full.
+        """
+        if self.is_unresponsive(now):
+            return TARGET_UTILISATION  # keeps the gap; single set-ups test the exchange meanwhile
+        # A report is used in one cycle only. Used again each cycle, one high figure would stretch the gap to
+        # its maximum, and behind a long gap no new report comes. Drawback: where reports are rare, the gap
+        # shrinks between them and is lengthened again.
+        report = self.report if now - self.report_at < CYCLE_MS else LoadReport()
+        if report.utilisation is not None:
+            return report.utilisation
+        delay_ms = self.expected_delay_ms(now, CYCLE_MS)
+        wait_ms = max(0.0, delay_ms - shared_delay_ms) if delay_ms else None
+        if report.capacity:
+            wait_ms = 1000.0 / report.capacity  # time to the next set-up it can take: its backlog
+        wait_ms = wait_ms if report.wait_ms is None else report.wait_ms
+        utilisation_by_wait = (
+            0.0
+            if wait_ms is None
+            else TARGET_UTILISATION
+            * (ZERO_WAIT_LOAD_SHARE + (1 - ZERO_WAIT_LOAD_SHARE) * wait_ms / target_wait_ms)
+        )
+        if report.hold_back is not None:  # comes late: a 0 does not outweigh a wait that is seen
+            accepted_share = max(1.0 - report.hold_back, TARGET_UTILISATION / MAX_UTILISATION)
+            return max(
+                TARGET_UTILISATION / accepted_share
+                if report.hold_back > MIN_HOLD_BACK_SHARE
+                else TARGET_UTILISATION / 2,
+                utilisation_by_wait,
+            )
+        if wait_ms is not None:
+            return utilisation_by_wait
+        return TARGET_UTILISATION * (
+            self.full_refusal_share / TARGET_FULL_SHARE if self.set_ups_sent else NO_REPORT_LOAD_FACTOR
+        )
 
 
 class CalledNumber:
-    """A number called: its busy outcomes and offers in this cycle, and its gap."""
+    """A called number: its offered calls and busy outcomes (omega) in this cycle, and its gap."""
 
     def __init__(self) -> None:
-        self.busy = self.offers = 0
+        self.busy_calls = self.offered_calls = 0
         self.gap = CallGap()
 
 
 class CallRecord:
-    """A call held or out, until its one final answer."""
-
-    def __init__(self, offer: CallOffered, kind: CallClass, began: float, now: float) -> None:
-        self.offer, self.kind, self.began, self.came = offer, kind, began, now
+    """A call from its offer until it ends or gets its one final answer.
+
+    `first_tried_at` is the caller's first try, from which the aim counts; a redial has an earlier one than
+    `offered_at`. No set-up is sent before `not_before`. An attempt is its time and the exchange it went to.
+    """
+
+    def __init__(self, offer: CallOffered, call_class: CallClass, first_tried_at: float, now: float) -> None:
+        self.offer, self.call_class, self.first_tried_at, self.offered_at = (
+            offer,
+            call_class,
+            first_tried_at,
+            now,
+        )
         self.attempts, self.standing, self.not_before = 0, False, now
-        self.tried: set[str] = set()
-        self.out: str | None = None
-        self.sent: tuple[float, RemoteExchange] | None = None  # the latest attempt
-        self.ran: tuple[float, RemoteExchange] | None = None  # the first that may have run
+        self.excluded_tandems: set[str] = set()  # addresses not to be tried as a tandem any more
+        self.outstanding_address: str | None = None  # where the attempt that has not ended went
+        self.last_attempt: tuple[float, RemoteExchange] | None = None
+        # The first attempt that an exchange may have carried out; None if provably none was.
+        self.possible_run: tuple[float, RemoteExchange] | None = None
 
 
 class Controller:
-    """The call controller of one signalling proxy."""
+    """The decisions of one signalling proxy. Raises ValueError for settings that are out of range."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        times = (settings.release_wait_ms, settings.drain_grace_ms, settings.cold_ms, settings.fall_ms)
+        times_ms = (settings.release_wait_ms, settings.drain_grace_ms, settings.cold_ms, settings.overload_ms)
         counts = (settings.proxies, len(settings.classes), settings.max_attempts)
-        if min(times) < 0 or min(counts) < 1 or settings.step_ms <= 0:
+        if min(times_ms) < 0 or min(counts) < 1 or settings.step_ms <= 0:
             raise ValueError("settings: negative time, no step, or no proxy, class or attempt")
-        self.set = settings
+        self.settings = settings
         self.random = Random(seed)
-        self.kinds = {kind.name: kind for kind in settings.classes}
-        self.fars: dict[str, RemoteExchange] = {}
-        self.by_cell: dict[int, RemoteExchange] = {}
-        self.via: dict[int, str] = {}  # destination -> the tandem over which a call stood last
-        self.tandems: list[RemoteExchange] = []
-        self.turn_ms = 1000.0 * settings.proxies / ASK_RATE - CYCLE_MS / 2  # between probes, or words
-        self.turned = int(not settings.pools)  # calls in transit turned back since the last word to the peers
-        self.own = RemoteExchange(
-            Exchange("", settings.home, ExchangeState.READY)
-        )  # the own processor, seen through its delays
-        self.full_ends: set[str] = set()  # far ends that said 'full' in this cycle,
-        self.good_ends: set[str] = set()  # and those that set a call up
+        self.classes_by_name = {call_class.name: call_class for call_class in settings.classes}
+        self.exchanges: dict[str, RemoteExchange] = {}  # by address
+        self.exchanges_by_cell: dict[int, RemoteExchange] = {}
+        self.last_tandem_addresses: dict[int, str] = {}  # by destination: tandem of the last call answered
+        self.tandems: list[RemoteExchange] = []  # one exchange for each cell but the own one
+        # Between two probes to one exchange, and between two peer messages.
+        self.probe_interval_ms = 1000.0 * settings.proxies / MAX_PROBES_PER_S - CYCLE_MS / 2
+        # Calls in transit refused since the last peer message. Starts at 1, so that a first message is sent;
+        # pools of agents have no calls in transit.
+        self.refused_transit_calls = int(not settings.pool_topology)
+        # The own processor reports no load; it is judged by the delay that all set-ups share.
+        self.own_processor = RemoteExchange(Exchange("", settings.home, ExchangeState.READY))
+        # Exchanges that refused a set-up as full in this cycle, and those that set a call up.
+        self.full_addresses: set[str] = set()
+        self.answering_addresses: set[str] = set()
         self.calls: dict[int, CallRecord] = {}
-        self.held: dict[int, CallRecord] = {}
-        self.numbers: dict[str, CalledNumber] = {}
-        self.first_tries: dict[str, float] = {}  # number -> first try of a call that was turned away
-        self.longest = max(kind.deadline_ms for kind in settings.classes)
+        self.held_calls: dict[int, CallRecord] = {}
+        self.called_numbers: dict[str, CalledNumber] = {}
+        # First try of refused calls by number, to recognise redials; oldest refusal first.
+        self.first_try_times: dict[str, float] = {}
+        self.longest_deadline_ms = max(call_class.deadline_ms for call_class in settings.classes)
         self.actions: list[Action] = []
         self.now = -math.inf
-        self.started = self.polling = False
-        self.began = self.awake = self.told_at = -math.inf
-        self.brisk_at = -math.inf  # when a call stood within the calm delay and the wait aimed at
-        self.due = math.inf  # when the next cycle is to begin
-        self.patience: dict[str, float] = {}  # class -> longest time that a caller of it was seen to leave us
-        self.warm_capacity = OWN_TIMES
-        self.lines = self.offered = self.look = 0
-        self.own_rate = self.lost = 0.0  # own calls a second; share of set-ups lost though their end works
-        self.calm = 0.0  # mean delay of all ends while the own gap is off
-        self.usual, self.spread = LOST_MS, LOST_MS / 2  # delays of all ends: mean, mean deviation
-        self.flying: dict[int, float] = {}  # call -> when its set-up went out, oldest first
-        self.takers: dict[type, Callable[[Any], None]] = {
-            Started: self.on_start,
-            ExchangeListUpdate: self.on_list,
-            CallOffered: self.on_call,
-            CallAnswered: self.on_stands,
-            AttemptEnded: self.on_ended,
-            LoadReported: self.on_report,
-            TimerExpired: self.on_timer,
-            PeerMessageReceived: self.on_peer,
-            CallerLeft: lambda gone: self.drop(gone.call),
+        self.started = self.poll_timer_running = False
+        self.started_at = self.resumed_at = self.last_peer_message_at = -math.inf
+        # Last time that a call was set up within the baseline delay and the target wait.
+        self.last_prompt_answer_at = -math.inf
+        self.next_cycle_at = math.inf
+        # By class: the longest time to the deadline with which a call of it was offered.
+        self.max_time_left_ms: dict[str, float] = {}
+        self.warm_capacity_per_s = ASSUMED_CAPACITY_MULTIPLE  # of one processor, in set-ups
+        self.log_lines = self.offered_calls = self.tandem_index = 0
+        # Calls offered by callers; share of set-ups that were lost although their exchange responds.
+        self.offered_calls_per_s = self.lost_share = 0.0
+        # Set-up delays of all exchanges: mean while the own processor has no gap, mean, mean deviation.
+        self.baseline_delay_ms = 0.0
+        self.mean_delay_ms, self.delay_deviation_ms = MIN_OVERDUE_MS, MIN_OVERDUE_MS / 2
+        # Call to the time its set-up was sent, oldest first, while it may still be cancelled as overdue.
+        self.cancellable_set_ups: dict[int, float] = {}
+        self.handlers: dict[type, Callable[[Any], None]] = {
+            Started: self.on_started,
+            ExchangeListUpdate: self.on_list_update,
+            CallOffered: self.on_call_offered,
+            CallAnswered: self.on_call_answered,
+            AttemptEnded: self.on_attempt_ended,
+            LoadReported: self.on_load_reported,
+            TimerExpired: self.on_timer_expired,
+            PeerMessageReceived: self.on_peer_message,
+            CallerLeft: lambda event: self.forget_call(event.call),
         }
-        self.wait_t = WAIT_T * min((kind.aim_ms for kind in settings.classes if kind.aim_ms > 0), default=1e3)
-        self.least_worth = min(kind.worth for kind in settings.classes)
-        self.least_density = min(self.density(kind) for kind in settings.classes)
+        self.target_wait_ms = TARGET_WAIT_SHARE_OF_AIM * min(
+            (call_class.aim_ms for call_class in settings.classes if call_class.aim_ms > 0), default=1e3
+        )
+        self.min_worth = min(call_class.worth for call_class in settings.classes)
+        self.min_worth_density = min(self.worth_density(call_class) for call_class in settings.classes)
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event; the actions are to be carried out in order."""
+        """Handle one event at time `now`; return the actions, to be carried out in order.
+
+        Raises ValueError if the clock runs backwards or the first event is not `Started`. Events of a type
+        without a handler are ignored.
+        """
         if now < self.now:
-            raise ValueError(f"time ran backwards: {now} after {self.now}")
+            raise ValueError(f"clock ran backwards: event at {now} ms after one at {self.now} ms")
         if not (self.started or isinstance(event, Started)):
-            raise ValueError("the first event of an instance must be Started")
-        if now > self.due + STALL_MS:
-            # The own proxy stood still: ages and delays that span it say nothing of far ends, and calls that
-            # came meanwhile have waited. Covers any halt of the host; could hide one slow answer at its end.
-            self.awake = now
-            for far in [*self.fars.values(), self.own]:
-                far.out = dict.fromkeys(far.out, now)
-            self.flying = dict.fromkeys(self.flying, now)
+            raise ValueError(f"the first event must be Started, got {type(event).__name__}")
+        if now > self.next_cycle_at + MIN_STALL_MS:
+            # This proxy was halted, for whatever reason. Ages and delays that span the halt say nothing of
+            # the exchanges, so outstanding set-ups count from now on; calls offered meanwhile have waited
+            # (see on_call_offered). Drawback: hides a slow answer that arrives just at the end of the halt.
+            self.resumed_at = now
+            for exchange in [*self.exchanges.values(), self.own_processor]:
+                exchange.outstanding_set_ups = dict.fromkeys(exchange.outstanding_set_ups, now)
+            self.cancellable_set_ups = dict.fromkeys(self.cancellable_set_ups, now)
         self.now, self.actions = now, []
-        take = self.takers.get(type(event))
-        if take is not None:
-            take(event)
+        handler = self.handlers.get(type(event))
+        if handler is not None:
+            handler(event)
         return self.actions
 
-    def on_start(self, _: Started) -> None:
-        self.started, self.began = True, self.now
-        self.next_cycle(CYCLE_MS * (0.5 + self.random.random()))
-        self.told_at = self.now - self.turn_ms * self.random.random()  # not all at once
-        if self.set.subscribe:
+    def on_started(self, _: Started) -> None:
+        """Start the control cycle and subscribe to the exchange list where that is needed.
+
+        The first cycle and the first peer message have random delays, so that not all proxies send at once.
+        """
+        self.started, self.started_at = True, self.now
+        self.schedule_cycle(CYCLE_MS * (0.5 + self.random.random()))
+        self.last_peer_message_at = self.now - self.probe_interval_ms * self.random.random()
+        if self.settings.subscribe:
             self.actions.append(Subscribe())
 
-    def next_cycle(self, wait: float) -> None:
-        self.actions.append(SetTimer(wait, RING_CYCLE))
-        self.due = self.now + wait
+    def schedule_cycle(self, wait_ms: float) -> None:
+        """Set the timer of the next control cycle."""
+        self.actions.append(SetTimer(wait_ms, CYCLE_TIMER_TOKEN))
+        self.next_cycle_at = self.now + wait_ms
+
+    def on_list_update(self, update: ExchangeListUpdate) -> None:
+        """Bring the exchanges up to date; after a failed request, set a timer for the next one.
 
-    def on_list(self, news: ExchangeListUpdate) -> None:
-        if news.kind is ListUpdateKind.FAILED:
-            self.actions.append(SetTimer(CYCLE_MS * (1 + self.random.random()), RING_LIST))
+        Exchanges that are missing from a full or cached list count as gone. A gone exchange is kept until an
+        update finds no set-up to it outstanding.
+        """
+        if update.kind is ListUpdateKind.FAILED:
+            self.actions.append(SetTimer(CYCLE_MS * (1 + self.random.random()), LIST_TIMER_TOKEN))
             return
-        named = {entry.address for entry in news.exchanges}
-        for entry in news.exchanges:
-            far = self.fars.setdefault(entry.address, RemoteExchange(entry))
-            if entry.born_ms != far.born:  # a new process: what was learnt of the old one is void
-                far.alive(self.now)
-                far.gap, far.delay_at, far.report_at, far.pause_until = (
+        listed_addresses = {entry.address for entry in update.exchanges}
+        for entry in update.exchanges:
+            exchange = self.exchanges.setdefault(entry.address, RemoteExchange(entry))
+            # The exchange was restarted: what is known of its earlier process no longer applies.
+            if entry.up_since_ms != exchange.up_since:
+                exchange.record_response(self.now)
+                exchange.gap, exchange.delay_at, exchange.report_at, exchange.pause_until = (
                     CallGap(),
                     -math.inf,
                     -math.inf,
                     -math.inf,
                 )
-                far.full_share = 0.0
-            far.state, far.born, far.cell, far.zone = entry.state, entry.born_ms, entry.cell, entry.zone
-        if news.kind is not ListUpdateKind.CHANGES:
-            for address, far in self.fars.items():
-                if address not in named and far.state is ExchangeState.READY:
-                    far.state = ExchangeState.GONE
-        self.fars = {
-            each: far for each, far in self.fars.items() if far.state is not ExchangeState.GONE or far.out
+                exchange.full_refusal_share = 0.0
+            exchange.state, exchange.up_since, exchange.cell, exchange.zone = (
+                entry.state,
+                entry.up_since_ms,
+                entry.cell,
+                entry.zone,
+            )
+        if update.kind is not ListUpdateKind.CHANGES:
+            for address, exchange in self.exchanges.items():
+                if address not in listed_addresses and exchange.state is ExchangeState.READY:
+                    exchange.state = ExchangeState.GONE
+        self.exchanges = {
+            known_address: exchange
+            for known_address, exchange in self.exchanges.items()
+            if exchange.state is not ExchangeState.GONE or exchange.outstanding_set_ups
         }
-        self.by_cell = {}
-        for far in self.fars.values():
-            if far.state is ExchangeState.READY or far.cell not in self.by_cell:
-                self.by_cell[far.cell] = far
-        self.tandems = [far for far in self.by_cell.values() if far.cell != self.set.home]
-
-    def on_call(self, offer: CallOffered) -> None:
-        kind = self.kinds.get(offer.call_class) or self.set.classes[0]
-        began = self.now
+        self.exchanges_by_cell = {}
+        for exchange in self.exchanges.values():
+            if exchange.state is ExchangeState.READY or exchange.cell not in self.exchanges_by_cell:
+                self.exchanges_by_cell[exchange.cell] = exchange
+        self.tandems = [
+            exchange for exchange in self.exchanges_by_cell.values() if exchange.cell != self.settings.home
+        ]
+
+    def on_call_offered(self, offer: CallOffered) -> None:
+        """Register an offered call, with the caller's first try, and decide on it.
+
+        An unknown class counts as the first one of the settings.
+        """
+        call_class = self.classes_by_name.get(offer.call_class) or self.settings.classes[0]
+        first_tried_at = self.now
         if not offer.in_transit and not offer.was_cut:
-            # A redial is known by its number: its aim runs from the first try, and unmarked ones are met too.
-            began = self.first_tries.get(offer.number, self.now)
-            if offer.redialled and began == self.now:
-                began -= kind.aim_ms / 2  # first try unknown: another proxy life
-        left = offer.deadline_ms - self.now
-        usual = self.patience[kind.name] = max(left, self.patience.get(kind.name, left))
-        began = min(began, self.now - usual + left) if self.now == self.awake else began
-        call = self.calls[offer.call] = CallRecord(offer, kind, began, self.now)
-        self.numbers.setdefault(offer.number, CalledNumber()).offers += 1
-        self.offered += not offer.in_transit
+            # A redial's aim counts from the caller's first try. It is recognised by the number of a refused
+            # call, whether it is marked as a redial or not.
+            first_tried_at = self.first_try_times.get(offer.number, self.now)
+            if offer.redialled and first_tried_at == self.now:
+                # The first try is unknown, as it was refused before this controller started.
+                first_tried_at -= call_class.aim_ms / 2
+        time_left_ms = offer.deadline_ms - self.now
+        longest_left_ms = self.max_time_left_ms[call_class.name] = max(
+            time_left_ms, self.max_time_left_ms.get(call_class.name, time_left_ms)
+        )
+        # After a stall of this proxy, the time to the deadline shows how long the call has waited.
+        first_tried_at = (
+            min(first_tried_at, self.now - longest_left_ms + time_left_ms)
+            if self.now == self.resumed_at
+            else first_tried_at
+        )
+        call = self.calls[offer.call] = CallRecord(offer, call_class, first_tried_at, self.now)
+        self.called_numbers.setdefault(offer.number, CalledNumber()).offered_calls += 1
+        self.offered_calls += not offer.in_transit
         self.decide(call)
 
-    def on_stands(self, event: CallAnswered) -> None:
-        far, call = self.fars.get(event.address), self.calls.get(event.call)
-        if far is not None:
-            self.word_from(far, event.call)
-            self.good_ends.add(event.address)
-            if event.elapsed_ms < self.calm + self.wait_t:
-                self.brisk_at = self.now
-            if call is not None and far.cell == call.offer.destination and self.now > self.awake:
-                far.answered(self.now, event.elapsed_ms)
-                self.spread += DELAY_GAIN / 2 * (abs(event.elapsed_ms - self.usual) - self.spread)
-                self.usual += DELAY_GAIN / 2 * (event.elapsed_ms - self.usual)
-        self.flying.pop(event.call, None)
+    def on_call_answered(self, event: CallAnswered) -> None:
+        """Mark a call as standing and record the delay of its set-up.
+
+        Only direct calls count in the delays, and none answered at the instant when this proxy resumes after
+        a stall. A tandem that set a call up is preferred for the next one to that destination, and its
+        back-off ends.
+        """
+        exchange, call = self.exchanges.get(event.address), self.calls.get(event.call)
+        if exchange is not None:
+            self.record_response(exchange, event.call)
+            self.answering_addresses.add(event.address)
+            if event.elapsed_ms < self.baseline_delay_ms + self.target_wait_ms:
+                self.last_prompt_answer_at = self.now
+            if call is not None and exchange.cell == call.offer.destination and self.now > self.resumed_at:
+                exchange.record_delay(self.now, event.elapsed_ms)
+                self.delay_deviation_ms += (
+                    DELAY_WEIGHT / 2 * (abs(event.elapsed_ms - self.mean_delay_ms) - self.delay_deviation_ms)
+                )
+                self.mean_delay_ms += DELAY_WEIGHT / 2 * (event.elapsed_ms - self.mean_delay_ms)
+        self.cancellable_set_ups.pop(event.call, None)
         if call is not None:
             call.standing = True
-            if far is not None and far.cell != call.offer.destination:
-                self.via[call.offer.destination] = far.address
-                far.back.pop(call.offer.destination, None)
-
-    def on_ended(self, event: AttemptEnded) -> None:
-        far, call = self.fars.get(event.address), self.calls.get(event.call)
-        outcome, clearing = event.outcome, event.clearing
-        if far is not None:
-            far.hear(self.now, event.report)
+            if exchange is not None and exchange.cell != call.offer.destination:
+                self.last_tandem_addresses[call.offer.destination] = exchange.address
+                exchange.back_off_by_destination.pop(call.offer.destination, None)
+
+    def on_attempt_ended(self, event: AttemptEnded) -> None:
+        """Record what an ended attempt shows of the exchange, then retry, end, refuse or fail its call.
+
+        Attempts of calls that have ended, and those whose address is not the call's outstanding one, count
+        for the exchange only. A retry after a time-out, reset or cancellation waits for the release.
+        """
+        exchange, call = self.exchanges.get(event.address), self.calls.get(event.call)
+        outcome, clearing_cause = event.outcome, event.clearing_cause
+        if exchange is not None:
+            exchange.record_report(self.now, event.report)
             if outcome in (Outcome.ENDED, Outcome.LINE_BUSY, Outcome.NOT_SET_UP):
-                self.word_from(far, event.call)
-            sent = far.out.pop(event.call, self.now)
-            self.own.out.pop(event.call, None)
-            direct = call is not None and far.cell == call.offer.destination
-            if direct and outcome is Outcome.CANCELLED:
-                far.overdue[event.call] = sent
-            if direct and outcome is Outcome.TIMED_OUT and far.heard > sent:
-                self.lost += LOST_GAIN * (1.0 - self.lost)
-            if direct and outcome in (Outcome.TIMED_OUT, Outcome.UNREACHABLE) and self.now > self.awake:
-                for each in (far, self.own):  # it counts if nothing was heard since it went out
-                    each.run += each.heard < self.now - event.elapsed_ms
-            if direct and outcome is Outcome.RESET and call is not None and call.standing:
-                far.run = SILENT_RUN  # a standing call was cut: redials come before any news
-            if outcome is Outcome.NOT_SENT and clearing == ClearingCause.PROCESSOR_FULL:
-                self.own.run = SILENT_RUN  # the own processor is down
-            if clearing == ClearingCause.TURNED_BACK_BEYOND_FULL and call is not None:
-                self.on_full(self.by_cell.get(call.offer.destination, far), event.wait_ms)
-            elif clearing == ClearingCause.PROCESSOR_FULL and outcome is Outcome.NOT_SET_UP:
-                self.on_full(far, event.wait_ms)
-        if call is None or call.out != event.address:
+                self.record_response(exchange, event.call)
+            sent_at = exchange.outstanding_set_ups.pop(event.call, self.now)
+            self.own_processor.outstanding_set_ups.pop(event.call, None)
+            is_direct = call is not None and exchange.cell == call.offer.destination
+            if is_direct and outcome is Outcome.CANCELLED:
+                exchange.cancelled_set_ups[event.call] = sent_at
+            if is_direct and outcome is Outcome.TIMED_OUT and exchange.last_response_at > sent_at:
+                # Lost, as the exchange has responded since it was sent.
+                self.lost_share += LOST_SHARE_WEIGHT * (1.0 - self.lost_share)
+            if (
+                is_direct
+                and outcome in (Outcome.TIMED_OUT, Outcome.UNREACHABLE)
+                and self.now > self.resumed_at
+            ):
+                # The time-out counts for processors that have sent nothing since the set-up was sent.
+                for processor in (exchange, self.own_processor):
+                    processor.consecutive_timeouts += processor.last_response_at < self.now - event.elapsed_ms
+            if is_direct and outcome is Outcome.RESET and call is not None and call.standing:
+                # A standing call was cut: redials arrive before the exchange list shows the failure.
+                exchange.consecutive_timeouts = UNRESPONSIVE_TIMEOUTS
+            if outcome is Outcome.NOT_SENT and clearing_cause == ClearingCause.PROCESSOR_FULL:
+                # The own processor is down.
+                self.own_processor.consecutive_timeouts = UNRESPONSIVE_TIMEOUTS
+            if clearing_cause == ClearingCause.DESTINATION_FULL and call is not None:
+                self.on_processor_full(
+                    self.exchanges_by_cell.get(call.offer.destination, exchange), event.wait_ms
+                )
+            elif clearing_cause == ClearingCause.PROCESSOR_FULL and outcome is Outcome.NOT_SET_UP:
+                self.on_processor_full(exchange, event.wait_ms)
+        if call is None or call.outstanding_address != event.address:
             return
-        call.out = None
-        if outcome is Outcome.UNREACHABLE and far is not None and far.free_at < self.now - event.elapsed_ms:
-            far.free += call.offer.width  # it took no circuits, and no news of the group will say so
-        self.flying.pop(event.call, None)
-        if outcome is Outcome.LINE_BUSY and clearing == ClearingCause.NUMBER_BUSY and not event.ended:
-            self.numbers.setdefault(call.offer.number, CalledNumber()).busy += 1
-            self.answer(call)
+        call.outstanding_address = None
+        if (
+            outcome is Outcome.UNREACHABLE
+            and exchange is not None
+            and exchange.free_circuits_at < self.now - event.elapsed_ms
+        ):
+            # The set-up seized no circuits, and no report of the group will correct the count.
+            exchange.free_circuits += call.offer.width
+        self.cancellable_set_ups.pop(event.call, None)
+        if outcome is Outcome.LINE_BUSY and clearing_cause == ClearingCause.NUMBER_BUSY and not event.ended:
+            self.called_numbers.setdefault(call.offer.number, CalledNumber()).busy_calls += 1
+            self.refuse_or_fail(call)
             return
         if event.ended or call.standing:
-            self.drop(event.call)
+            self.forget_call(event.call)
             return
         if outcome in (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED):
-            call.not_before = self.now + self.set.release_wait_ms + self.set.step_ms
-        if outcome in (Outcome.NOT_SET_UP, Outcome.UNREACHABLE, Outcome.NOT_SENT) and call.ran == call.sent:
-            call.ran = None  # this attempt provably never ran, and none before it may have
-        if far is not None and (far.cell != call.offer.destination or outcome is Outcome.UNREACHABLE):
-            call.tried.add(event.address)
-            if self.via.get(call.offer.destination) == event.address:
-                del self.via[call.offer.destination]  # another tandem next time
-            if clearing == ClearingCause.TURNED_BACK:
-                self.turned_back(far, call.offer.destination)
+            call.not_before = self.now + self.settings.release_wait_ms + self.settings.step_ms
+        if (
+            outcome in (Outcome.NOT_SET_UP, Outcome.UNREACHABLE, Outcome.NOT_SENT)
+            and call.possible_run == call.last_attempt
+        ):
+            call.possible_run = None  # this attempt provably did not run, and it was the first to count
+        if exchange is not None and (
+            exchange.cell != call.offer.destination or outcome is Outcome.UNREACHABLE
+        ):
+            call.excluded_tandems.add(event.address)
+            if self.last_tandem_addresses.get(call.offer.destination) == event.address:
+                del self.last_tandem_addresses[call.offer.destination]
+            if clearing_cause == ClearingCause.TANDEM_REFUSED:
+                self.back_off_tandem(exchange, call.offer.destination)
         if outcome is Outcome.NOT_SENT:
-            call.not_before = max(call.not_before, self.now + POLL_MS)
+            call.not_before = max(call.not_before, self.now + POLL_INTERVAL_MS)
         if call.offer.in_transit:
-            self.answer(call)
+            self.refuse_or_fail(call)
             return
         self.decide(call)
 
-    def word_from(self, far: RemoteExchange, call: int) -> None:
-        """A set-up was answered, and direct ones before it were found lost; the share is that of all ends."""
-        self.own.alive(self.now, call)
-        passed = [self.calls[each] for each in far.alive(self.now, call) if each in self.calls]
-        for was in [1.0 for each in passed if each.offer.destination == far.cell] or [0.0]:
-            self.lost += LOST_GAIN * (was - self.lost)
-
-    def turned_back(self, far: RemoteExchange, to: int) -> None:
-        """A tandem has no circuit to this destination: for now, or, with each time more likely, never."""
-        wait = far.back.get(to, (0.0, BACK_MS / 2))[1] * 2
-        far.back[to] = (self.now + min(wait, BACK_MS * BACK_TIMES), min(wait, BACK_MS * BACK_TIMES))
-
-    def on_full(self, far: RemoteExchange, wait: float) -> None:
-        """A processor was full: the far one, or the own one, which turns set-ups to every end away alike. The
-        own one is meant when in one cycle more ends said 'full' than set a call up (some always are at
-        size) and none stood briskly for a cycle: a full processor is quick with nothing. Else slow
-        far ends tried again and again close the own gate, and too few calls go to clear it. Could hurt
-        when an own processor stops from one moment to the next: it is then blamed a cycle later."""
-        self.full_ends.add(far.address)
-        if 1 < len(self.full_ends) > len(self.good_ends) and self.now - self.brisk_at > CYCLE_MS:
-            far, wait = self.own, 0.0
-        far.fulls += 1
-        far.pause_until = max(far.pause_until, self.now + max(FULL_PAUSE_MS, min(wait, CYCLE_MS)))
-
-    def on_report(self, event: LoadReported) -> None:
-        far = self.fars.get(event.address)
-        if far is not None:
-            before = far.free
-            far.hear(self.now, event.report)
-            if far.free > before and self.held:
-                self.serve_held()
-
-    def tell_room(self) -> None:
-        """Tell all peers towards which exchanges this one has circuits to spare for calls in transit."""
-        spare = [far for far in self.tandems if far.free > self.allowance(far) and not far.silent(self.now)]
-        room = sum(1 << far.cell for far in spare)
+    def record_response(self, exchange: RemoteExchange, call: int) -> None:
+        """Note that an exchange, and so the own processor, responded to the set-up of `call`.
+
+        Updates the share of lost set-ups, over all exchanges: direct set-ups that the response overtook count
+        as lost; without any, one set-up counts as not lost.
+        """
+        self.own_processor.record_response(self.now, call)
+        overtaken_calls = [
+            self.calls[overtaken]
+            for overtaken in exchange.record_response(self.now, call)
+            if overtaken in self.calls
+        ]
+        for loss_sample in [
+            1.0 for overtaken in overtaken_calls if overtaken.offer.destination == exchange.cell
+        ] or [0.0]:
+            self.lost_share += LOST_SHARE_WEIGHT * (loss_sample - self.lost_share)
+
+    def back_off_tandem(self, tandem: RemoteExchange, destination: int) -> None:
+        """Do not use a tandem for a destination to which it had no circuit, each time for twice as long.
+
+        With each further refusal it is more likely that it has no group to that destination at all.
+        """
+        wait_ms = tandem.back_off_by_destination.get(destination, (0.0, TANDEM_BACK_OFF_MS / 2))[1] * 2
+        tandem.back_off_by_destination[destination] = (
+            self.now + min(wait_ms, TANDEM_BACK_OFF_MS * MAX_TANDEM_BACK_OFF_MULTIPLE),
+            min(wait_ms, TANDEM_BACK_OFF_MS * MAX_TANDEM_BACK_OFF_MULTIPLE),
+        )
+
+    def on_processor_full(self, exchange: RemoteExchange, wait_ms: float) -> None:
+        """Pause set-ups to a processor that refused one as full: the exchange's, or the own one.
+
+        A full own processor refuses the set-ups to all exchanges alike. It is taken to be the full one if in
+        this cycle at least two exchanges refused as full, more than set a call up, and no call was set up
+        promptly for a cycle, as a full processor does nothing promptly. In a large fleet some exchanges are
+        always full; without these conditions, repeated tries of slow exchanges would pause the own processor,
+        and too few calls would be sent to end that state. Drawback: an own processor that stops abruptly is
+        recognised one cycle late.
+        """
+        self.full_addresses.add(exchange.address)
+        if (
+            1 < len(self.full_addresses) > len(self.answering_addresses)
+            and self.now - self.last_prompt_answer_at > CYCLE_MS
+        ):
+            exchange, wait_ms = self.own_processor, 0.0
+        exchange.full_refusals += 1
+        exchange.pause_until = max(
+            exchange.pause_until, self.now + max(MIN_FULL_PAUSE_MS, min(wait_ms, CYCLE_MS))
+        )
+
+    def on_load_reported(self, event: LoadReported) -> None:
+        """Record a load report, and decide again on held calls if it shows more free circuits."""
+        exchange = self.exchanges.get(event.address)
+        if exchange is not None:
+            free_before = exchange.free_circuits
+            exchange.record_report(self.now, event.report)
+            if exchange.free_circuits > free_before and self.held_calls:
+                self.decide_held_calls()
+
+    def send_spare_cells(self) -> None:
+        """Tell all peers towards which exchanges the own one has circuits to spare for calls in transit.
+
+        The message is a tag and an integer, little-endian, with bit n set for exchange n.
+        """
+        spare = [
+            exchange
+            for exchange in self.tandems
+            if exchange.free_circuits > self.reserved_circuits(exchange)
+            and not exchange.is_unresponsive(self.now)
+        ]
+        spare_cell_bits = sum(1 << exchange.cell for exchange in spare)
         self.actions.append(
-            SendPeerMessage(-1, TELL_TAG + room.to_bytes(room.bit_length() // 8 + 1, "little"))
+            SendPeerMessage(
+                -1,
+                PEER_MESSAGE_TAG + spare_cell_bits.to_bytes(spare_cell_bits.bit_length() // 8 + 1, "little"),
+            )
         )
-        self.turned, self.told_at = 0, self.now
-
-    def on_peer(self, event: PeerMessageReceived) -> None:
-        """A peer's word on its own groups; messages of another form or sender are passed over."""
-        far = self.by_cell.get(event.sender)
-        if far is not None and event.content.startswith(TELL_TAG):
-            far.room_map = int.from_bytes(event.content[len(TELL_TAG) :], "little")
-            far.told_map_at = self.now
-
-    def on_timer(self, event: TimerExpired) -> None:
-        if event.token == RING_CYCLE:
-            self.cycle()
-            self.next_cycle(CYCLE_MS)
-        elif event.token == RING_POLL:
-            self.polling = False
-            self.give_up()
-            self.serve_held()
-            self.keep_polling()
-        elif event.token == RING_LIST and self.set.subscribe:
+        self.refused_transit_calls, self.last_peer_message_at = 0, self.now
+
+    def on_peer_message(self, event: PeerMessageReceived) -> None:
+        """Keep towards which exchanges a peer's exchange has spare circuits; ignore other messages."""
+        exchange = self.exchanges_by_cell.get(event.sender)
+        if exchange is not None and event.content.startswith(PEER_MESSAGE_TAG):
+            exchange.spare_cell_bits = int.from_bytes(event.content[len(PEER_MESSAGE_TAG) :], "little")
+            exchange.spare_cell_bits_at = self.now
+
+    def on_timer_expired(self, event: TimerExpired) -> None:
+        """Run the control cycle, poll held calls and overdue set-ups, or ask for the list again."""
+        if event.token == CYCLE_TIMER_TOKEN:
+            self.run_cycle()
+            self.schedule_cycle(CYCLE_MS)
+        elif event.token == POLL_TIMER_TOKEN:
+            self.poll_timer_running = False
+            self.cancel_overdue_set_ups()
+            self.decide_held_calls()
+            self.ensure_polling()
+        elif event.token == LIST_TIMER_TOKEN and self.settings.subscribe:
             self.actions.append(Subscribe())
 
-    def keep_polling(self) -> None:
-        if not self.polling and (self.held or (self.flying and self.lost > LOST_ON)):
-            self.polling = True
-            self.actions.append(SetTimer(POLL_MS, RING_POLL))
-
-    def give_up(self) -> None:
-        """Call off set-ups whose answer is overdue, once each, while another try can still make the aim.
-        Guards against answers and set-ups lost on the way, and a tandem that stands still. Acts while set-ups
-        are seen lost at working ends; not towards slow or silent ends, where it is only more work."""
-        overdue = self.now - max(LOST_MS, self.usual + LOST_DELAYS * self.spread)
-        wait = self.set.release_wait_ms + self.set.step_ms + self.usual
-        while self.flying and next(iter(self.flying.values())) <= overdue and self.lost > LOST_ON:
-            name = next(iter(self.flying))
-            del self.flying[name]
-            call = self.calls.get(name)
-            if call is None or call.sent is None or call.attempts >= GIVE_UPS:
+    def ensure_polling(self) -> None:
+        """Set the poll timer if it is not running and there is a call to poll for."""
+        if not self.poll_timer_running and (
+            self.held_calls or (self.cancellable_set_ups and self.lost_share > MIN_LOST_SHARE)
+        ):
+            self.poll_timer_running = True
+            self.actions.append(SetTimer(POLL_INTERVAL_MS, POLL_TIMER_TOKEN))
+
+    def cancel_overdue_set_ups(self) -> None:
+        """Cancel set-ups whose answer is overdue, once each, if a retry can still meet the aim.
+
+        Guards against set-ups and answers lost on the way, and against a tandem that hangs. Done only while
+        set-ups to exchanges that respond are being lost, and not towards gapped or unresponsive processors,
+        to which a retry is only more work.
+        """
+        overdue_sent_at = self.now - max(
+            MIN_OVERDUE_MS, self.mean_delay_ms + OVERDUE_DEVIATIONS * self.delay_deviation_ms
+        )
+        retry_time_ms = self.settings.release_wait_ms + self.settings.step_ms + self.mean_delay_ms
+        while (
+            self.cancellable_set_ups
+            and next(iter(self.cancellable_set_ups.values())) <= overdue_sent_at
+            and self.lost_share > MIN_LOST_SHARE
+        ):
+            call_id = next(iter(self.cancellable_set_ups))
+            del self.cancellable_set_ups[call_id]
+            call = self.calls.get(call_id)
+            if call is None or call.last_attempt is None or call.attempts >= FIRST_UNCANCELLED_ATTEMPT:
                 continue
-            ends = (call.sent[1], self.by_cell.get(call.offer.destination, self.own), self.own)
-            pressed = any(far.gap.t or far.silent(self.now) for far in ends)
-            if not pressed and self.now + wait - call.began < call.kind.aim_ms:
-                self.actions.append(Cancel(name, call.attempts - 1))
-
-    def own_part(self) -> float:
-        """The part of set-up delays that every far end shows: the own processor and the way."""
-        fresh = [far.delay for far in self.fars.values() if self.now - far.delay_at < CYCLE_MS]
-        return min(fresh) if len(fresh) > 1 else 0.0
-
-    def cycle(self) -> None:
-        own = self.own_part()
-        seconds = CYCLE_MS / 1000.0
-        self.own_rate += (CYCLE_GAIN if self.own_rate else 1.0) * (self.offered / seconds - self.own_rate)
-        self.offered = 0
-        self.own.delay, self.own.delay_at = own, self.now
-        if not self.own.gap.t:  # a slow day does not become the usual one
-            self.calm += (RATE_GAIN if self.calm else 1.0) * (self.usual - self.calm)
-        self.full_ends, self.good_ends = set(), set()
-        told = [rate for far in self.fars.values() if (rate := far.report.capacity) and not self.cold(far)]
-        self.warm_capacity = sum(told) / len(told) if told else OWN_TIMES * max(self.own_rate, 1.0)
-        for far in [*self.fars.values(), self.own]:
-            if not far.gap.t:
-                far.rate += RATE_GAIN * (far.sent / seconds - far.rate)
-            share = min(1.0, far.fulls / far.sent) if far.sent else 0.0
-            far.full_share += CYCLE_GAIN * (share - far.full_share)
-            if far is self.own:
-                self.tune(far, self.calm)
-            elif far.cell != self.set.home and far.state is ExchangeState.READY:
-                self.tune(far, own)
-                heard = self.set.reports_in_answers and self.now - far.report_at < CYCLE_MS
-                wanted = far.gap.t or (far.sent and not self.set.reports_in_answers)
-                # Each probe is work there: in a large fleet, one a cycle from every proxy jams the processor.
-                if self.set.may_probe and wanted and not heard and self.now - far.asked >= self.turn_ms:
-                    far.asked = self.now
-                    self.actions.append(Probe(far.address))
-            far.sent = far.fulls = 0
-        if self.set.may_tell and self.turned and self.now - self.told_at >= self.turn_ms:
-            self.tell_room()
-        while self.first_tries and next(iter(self.first_tries.values())) < self.now - self.longest:
-            del self.first_tries[next(iter(self.first_tries))]
-        for name in list(self.numbers):
-            number = self.numbers[name]
+            processors = (
+                call.last_attempt[1],
+                self.exchanges_by_cell.get(call.offer.destination, self.own_processor),
+                self.own_processor,
+            )
+            is_overloaded = any(
+                processor.gap.interval_ms or processor.is_unresponsive(self.now) for processor in processors
+            )
+            if not is_overloaded and self.now + retry_time_ms - call.first_tried_at < call.call_class.aim_ms:
+                self.actions.append(Cancel(call_id, call.attempts - 1))
+
+    def estimate_shared_delay_ms(self) -> float:
+        """Part of the set-up delays that all exchanges share: the own processor's and the transmission's.
+
+        The smallest fresh delay; 0 if fewer than two exchanges have one.
+        """
+        fresh_delays_ms = [
+            exchange.delay_ms
+            for exchange in self.exchanges.values()
+            if self.now - exchange.delay_at < CYCLE_MS
+        ]
+        return min(fresh_delays_ms) if len(fresh_delays_ms) > 1 else 0.0
+
+    def run_cycle(self) -> None:
+        """Update the smoothed rates and delays, retune all gaps, and send probes and the peer message."""
+        shared_delay_ms = self.estimate_shared_delay_ms()
+        cycle_s = CYCLE_MS / 1000.0
+        self.offered_calls_per_s += (CYCLE_WEIGHT if self.offered_calls_per_s else 1.0) * (
+            self.offered_calls / cycle_s - self.offered_calls_per_s
+        )
+        self.offered_calls = 0
+        self.own_processor.delay_ms, self.own_processor.delay_at = shared_delay_ms, self.now
+        if not self.own_processor.gap.interval_ms:  # keeps delays under overload out of the baseline
+            self.baseline_delay_ms += (BASELINE_WEIGHT if self.baseline_delay_ms else 1.0) * (
+                self.mean_delay_ms - self.baseline_delay_ms
+            )
+        self.full_addresses, self.answering_addresses = set(), set()
+        reported_capacities = [
+            capacity
+            for exchange in self.exchanges.values()
+            if (capacity := exchange.report.capacity) and not self.is_cold(exchange)
+        ]
+        self.warm_capacity_per_s = (
+            sum(reported_capacities) / len(reported_capacities)
+            if reported_capacities
+            else ASSUMED_CAPACITY_MULTIPLE * max(self.offered_calls_per_s, 1.0)
+        )
+        for exchange in [*self.exchanges.values(), self.own_processor]:
+            if not exchange.gap.interval_ms:
+                exchange.set_ups_per_s += BASELINE_WEIGHT * (
+                    exchange.set_ups_sent / cycle_s - exchange.set_ups_per_s
+                )
+            refusal_share = (
+                min(1.0, exchange.full_refusals / exchange.set_ups_sent) if exchange.set_ups_sent else 0.0
+            )
+            exchange.full_refusal_share += CYCLE_WEIGHT * (refusal_share - exchange.full_refusal_share)
+            if exchange is self.own_processor:
+                self.tune_gap(exchange, self.baseline_delay_ms)
+            elif exchange.cell != self.settings.home and exchange.state is ExchangeState.READY:
+                self.tune_gap(exchange, shared_delay_ms)
+                has_report = self.settings.reports_in_answers and self.now - exchange.report_at < CYCLE_MS
+                needs_report = exchange.gap.interval_ms or (
+                    exchange.set_ups_sent and not self.settings.reports_in_answers
+                )
+                # Probes are work for a processor: one a cycle from each proxy of a large fleet overloads it.
+                if (
+                    self.settings.may_probe
+                    and needs_report
+                    and not has_report
+                    and self.now - exchange.last_probe_at >= self.probe_interval_ms
+                ):
+                    exchange.last_probe_at = self.now
+                    self.actions.append(Probe(exchange.address))
+            exchange.set_ups_sent = exchange.full_refusals = 0
+        if (
+            self.settings.may_message_peers
+            and self.refused_transit_calls
+            and self.now - self.last_peer_message_at >= self.probe_interval_ms
+        ):
+            self.send_spare_cells()
+        while (
+            self.first_try_times
+            and next(iter(self.first_try_times.values())) < self.now - self.longest_deadline_ms
+        ):
+            del self.first_try_times[next(iter(self.first_try_times))]
+        for number_text in list(self.called_numbers):
+            number = self.called_numbers[number_text]
             gap = number.gap
-            if gap.t:
-                if number.busy == 0 and gap.t <= gap.floor and number.offers <= 1:
-                    gap.t = 0.0
+            if gap.interval_ms:
+                if (
+                    number.busy_calls == 0
+                    and gap.interval_ms <= gap.min_interval_ms
+                    and number.offered_calls <= 1
+                ):
+                    gap.interval_ms = 0.0
                 else:
-                    gap.by_rate(self.now, number.busy, CYCLE_MS)
-            elif number.busy >= OMEGA_ENGAGE:
-                gap.engage(self.now, CYCLE_MS / (T0_RATES * max(number.offers, 1)))
-                self.log(f"crowded number: gap on, {number.offers} offered, {number.busy} busy")
-            number.busy = number.offers = 0
-            if not gap.t:
-                del self.numbers[name]
-
-    def tune(self, far: RemoteExchange, own: float) -> None:
-        """Engage, retune or take off the gap of one processor."""
-        rho = far.rho(self.now, own, self.wait_t)
-        if far.gap.t:
-            if rho < RHO_RELEASE and far.gap.t <= far.gap.floor:
-                far.gap.t = 0.0
-                self.log(f"{far.title}: gap off")
+                    gap.retune_to_busy_calls(self.now, number.busy_calls, CYCLE_MS)
+            elif number.busy_calls >= GAP_ON_BUSY_PER_CYCLE:
+                gap.engage(self.now, CYCLE_MS / (INITIAL_GAP_RATE_MULTIPLE * max(number.offered_calls, 1)))
+                self.log(f"crowded number: gap on, {number.offered_calls} offered, {number.busy_calls} busy")
+            number.busy_calls = number.offered_calls = 0
+            if not gap.interval_ms:
+                del self.called_numbers[number_text]
+
+    def tune_gap(self, exchange: RemoteExchange, shared_delay_ms: float) -> None:
+        """Turn the gap of one processor on or off, or retune it, by its estimated utilisation.
+
+        T0 allows INITIAL_GAP_RATE_MULTIPLE times the own rate towards the processor (its baseline, but at
+        least half of an even share of the offered calls, or of the minimum rate), or a lower reported
+        capacity.
+        """
+        utilisation = exchange.estimate_utilisation(self.now, shared_delay_ms, self.target_wait_ms)
+        if exchange.gap.interval_ms:
+            if utilisation < GAP_OFF_UTILISATION and exchange.gap.interval_ms <= exchange.gap.min_interval_ms:
+                exchange.gap.interval_ms = 0.0
+                self.log(f"{exchange.display_name}: gap off")
             else:
-                far.gap.by_ratio(self.now, rho)
-        elif rho >= RHO_ENGAGE:
-            even = self.own_rate / (1 if far is self.own else max(len(self.tandems), 1))
-            flow = T0_RATES * max(far.rate, even / 2, RATE_MIN / len(self.fars or "1"))
-            far.gap.engage(self.now, 1000.0 / min(flow, far.report.capacity or flow), T_SPAN)
-            self.log(f"{far.title}: gap on, load {rho:.2f}")
-
-    def density(self, kind: CallClass) -> float:
-        """Worth for each circuit and second held."""
-        return kind.worth / (max(kind.width, 1) * max(kind.holding_ms, 1.0))
-
-    def late(self, call: CallRecord) -> bool:
-        """Can't stand in its aim any more, counted from the caller's first try, with the far end's delay."""
-        far = self.by_cell.get(call.offer.destination)
-        delay = far.lag(self.now, STALE_MS) if far is not None else 0.0
-        return self.now + delay - call.began > call.kind.aim_ms
-
-    def pressed(self, call: CallRecord) -> bool:
-        """Its destination's processor or the own one is gapped: late calls keep off it."""
-        return bool(self.own.gap.t or self.by_cell.get(call.offer.destination, self.own).gap.t)
-
-    def allowance(self, far: RemoteExchange, kind: CallClass | None = None) -> int:
-        """Circuits of a group kept for direct calls; a class of more worth per circuit leaves fewer."""
-        ratio = self.density(kind) / self.least_density if kind else 1.0
-        return round(ALLOWANCE * math.sqrt(max(far.circuits, 1)) / ratio) + 1
-
-    def gate(self, call: CallRecord, far: RemoteExchange) -> bool:
-        """May a first set-up go towards this processor now?"""
-        if self.now < far.pause_until:
+                exchange.gap.retune_to_utilisation(self.now, utilisation)
+        elif utilisation >= GAP_ON_UTILISATION:
+            even_share_per_s = self.offered_calls_per_s / (
+                1 if exchange is self.own_processor else max(len(self.tandems), 1)
+            )
+            initial_rate_per_s = INITIAL_GAP_RATE_MULTIPLE * max(
+                exchange.set_ups_per_s,
+                even_share_per_s / 2,
+                MIN_CALLS_PER_S / len(self.exchanges or "1"),
+            )
+            exchange.gap.engage(
+                self.now,
+                1000.0 / min(initial_rate_per_s, exchange.report.capacity or initial_rate_per_s),
+                MAX_GAP_MULTIPLE,
+            )
+            self.log(f"{exchange.display_name}: gap on, load {utilisation:.2f}")
+
+    def worth_density(self, call_class: CallClass) -> float:
+        """Worth of a call for each circuit and millisecond that it holds."""
+        return call_class.worth / (max(call_class.width, 1) * max(call_class.holding_ms, 1.0))
+
+    def misses_aim(self, call: CallRecord) -> bool:
+        """Whether a call set up now would be answered after its aim, counted from the caller's first try.
+
+        The destination's expected set-up delay is added.
+        """
+        exchange = self.exchanges_by_cell.get(call.offer.destination)
+        delay_ms = exchange.expected_delay_ms(self.now, MAX_FIGURE_AGE_MS) if exchange is not None else 0.0
+        return self.now + delay_ms - call.first_tried_at > call.call_class.aim_ms
+
+    def path_is_gapped(self, call: CallRecord) -> bool:
+        """Whether the destination's processor or the own one has a gap, so that late calls are not sent."""
+        return bool(
+            self.own_processor.gap.interval_ms
+            or self.exchanges_by_cell.get(call.offer.destination, self.own_processor).gap.interval_ms
+        )
+
+    def reserved_circuits(self, exchange: RemoteExchange, call_class: CallClass | None = None) -> int:
+        """Trunk reservation: circuits of a group that a call has to leave free for direct calls.
+
+        It grows with the square root of the group's size, and is smaller for a class of more worth for each
+        circuit and time held. Without a class, that of the least worth is meant.
+        """
+        density_ratio = self.worth_density(call_class) / self.min_worth_density if call_class else 1.0
+        return round(TRUNK_RESERVATION_FACTOR * math.sqrt(max(exchange.circuits, 1)) / density_ratio) + 1
+
+    def processor_admits(self, call: CallRecord, exchange: RemoteExchange) -> bool:
+        """Whether this processor may get a set-up of the call now.
+
+        Not during a pause after a refusal as full, nor before the gap's next time, which a class of higher
+        worth may precede by a credit. An unresponsive processor gets single set-ups as tests, UNRESPONSIVE_MS
+        apart. The own processor also limits the outstanding set-ups.
+        """
+        if self.now < exchange.pause_until:
             return False
-        if far.silent(self.now) and (far.out or self.now - far.last_sent < SILENT_MS):
+        if exchange.is_unresponsive(self.now) and (
+            exchange.outstanding_set_ups or self.now - exchange.last_set_up_at < UNRESPONSIVE_MS
+        ):
             return False
-        credit = CREDIT * (1.0 - self.least_worth / call.kind.worth) if call.kind.worth > 0 else 0.0
-        if far is self.own:
-            young = self.now - SILENT_MS
-            if sum(at > young for at in far.out.values()) >= self.window() + credit:
+        credit_gaps = (
+            MAX_CREDIT_GAPS * (1.0 - self.min_worth / call.call_class.worth)
+            if call.call_class.worth > 0
+            else 0.0
+        )
+        if exchange is self.own_processor:
+            counted_since = self.now - UNRESPONSIVE_MS
+            if (
+                sum(sent_at > counted_since for sent_at in exchange.outstanding_set_ups.values())
+                >= self.max_outstanding_set_ups() + credit_gaps
+            ):
                 return False
-        return far.gap.passes(self.now, credit)
-
-    def window(self) -> float:
-        """So many set-ups of this proxy may be out unanswered at once: what its rate sends in the calm delay
-        and the wait aimed at, less by the square of what delays exceed that. Between cycles sends so go by
-        answers: guards against a slowdown of all processors or of the own one, a surge, and a gap that starts
-        too wide. Set-ups overtaken by a later one's answer, or out for SILENT_MS, do not count: hung or
-        cut-off ends close nothing. Could hurt where the rate jumps: held calls then wait for an answer."""
-        rate, most = max(self.own.rate, self.own_rate), self.calm + self.wait_t
-        part = min(1.0, most / max(self.usual, 1.0)) ** 2
-        return max(1.0, rate * most / 1000.0 * part) if rate else math.inf
-
-    def route(self, call: CallRecord) -> RemoteExchange | None:
-        """Direct, else the advised tandem, else the freest first leg; each processor's gate is passed."""
+        return exchange.gap.allows_set_up(self.now, credit_gaps)
+
+    def max_outstanding_set_ups(self) -> float:
+        """Largest number of unanswered set-ups that this proxy may have outstanding at once.
+
+        It is what the normal rate sends in the target delay (baseline delay and target wait); while the mean
+        delay exceeds the target, it shrinks by the square of their ratio. Within a cycle, set-ups are so
+        paced by answers. Guards against a slowdown of all processors or of the own one, a surge of calls, and
+        a first gap that lets too many through. Set-ups overtaken by a later one's answer, or outstanding for
+        UNRESPONSIVE_MS, do not count, so that exchanges that hang or are cut off do not block the others.
+        Drawback: after a jump of the rate, held calls wait for an answer.
+        """
+        set_ups_per_s, target_delay_ms = (
+            max(self.own_processor.set_ups_per_s, self.offered_calls_per_s),
+            self.baseline_delay_ms + self.target_wait_ms,
+        )
+        delay_factor = min(1.0, target_delay_ms / max(self.mean_delay_ms, 1.0)) ** 2
+        return (
+            max(1.0, set_ups_per_s * target_delay_ms / 1000.0 * delay_factor) if set_ups_per_s else math.inf
+        )
+
+    def choose_route(self, call: CallRecord) -> RemoteExchange | None:
+        """Choose the exchange that the next set-up of a call goes to; None if there is none at present.
+
+        In this order: the destination itself, the advised tandem, the tandem of the last answered call to
+        that destination, and the one with the most free circuits among those examined. The processors of the
+        destination, of this proxy and of the tandem, and the gap of the number, have to admit the call. Calls
+        in transit and late calls go to their destination only, and have to leave the reserved circuits free.
+        """
         offer = call.offer
-        direct = self.by_cell.get(offer.destination)
-        if direct is None or not self.gate(call, direct) or not self.gate(call, self.own):
+        direct = self.exchanges_by_cell.get(offer.destination)
+        if (
+            direct is None
+            or not self.processor_admits(call, direct)
+            or not self.processor_admits(call, self.own_processor)
+        ):
             return None
-        number = self.numbers.get(offer.number)
-        if number is not None and not number.gap.passes(self.now, 0.0):
+        number = self.called_numbers.get(offer.number)
+        if number is not None and not number.gap.allows_set_up(self.now, 0.0):
             return None
         if offer.in_transit:
-            return direct if direct.free >= call.offer.width + self.allowance(direct, call.kind) else None
-        late = self.late(call)
-        if late and self.pressed(call):
-            return None  # a quarter of the worth does not pay for work of a pressed processor
-        keep = self.allowance(direct, call.kind) if late else 0
-        if direct.free >= call.offer.width + keep and self.allowed(call, direct):
+            return (
+                direct
+                if direct.free_circuits >= call.offer.width + self.reserved_circuits(direct, call.call_class)
+                else None
+            )
+        misses_aim = self.misses_aim(call)
+        if misses_aim and self.path_is_gapped(call):
+            return None  # the quarter of its worth left does not justify work of an overloaded processor
+        reserved_circuits = self.reserved_circuits(direct, call.call_class) if misses_aim else 0
+        if direct.free_circuits >= call.offer.width + reserved_circuits and self.may_send(call, direct):
             return direct
-        if late or direct.silent(self.now):
+        if misses_aim or direct.is_unresponsive(self.now):
             return None
-        advised = self.by_cell.get(offer.tandem)
-        for known in (advised, self.fars.get(self.via.get(offer.destination, ""))):
-            if known is not None and self.as_tandem(call, known):
-                return known
+        advised = self.exchanges_by_cell.get(offer.tandem)
+        for candidate in (advised, self.exchanges.get(self.last_tandem_addresses.get(offer.destination, ""))):
+            if candidate is not None and self.may_use_as_tandem(call, candidate):
+                return candidate
         best: RemoteExchange | None = None
-        for _ in range(min(LOOKS, len(self.tandems))):
-            self.look = (self.look + 1) % len(self.tandems)
-            far = self.tandems[self.look]
-            if (best is None or far.free > best.free) and self.as_tandem(call, far):
-                best = far
+        for _ in range(min(MAX_TANDEMS_EXAMINED, len(self.tandems))):
+            self.tandem_index = (self.tandem_index + 1) % len(self.tandems)
+            exchange = self.tandems[self.tandem_index]
+            if (best is None or exchange.free_circuits > best.free_circuits) and self.may_use_as_tandem(
+                call, exchange
+            ):
+                best = exchange
         return best
 
-    def as_tandem(self, call: CallRecord, far: RemoteExchange) -> bool:
-        """May this call try this tandem, or pool of second choice?"""
-        to = call.offer.destination
-        foreign = self.set.pools and far.cell not in call.kind.pools
-        if far.cell == to or far.address in call.tried or foreign:
+    def may_use_as_tandem(self, call: CallRecord, tandem: RemoteExchange) -> bool:
+        """Whether a call may be sent over this tandem, or, with pools, to this pool of second choice.
+
+        Excluded are tandems that the call has tried, that backed off for the destination, that are gapped,
+        cold or unresponsive, or whose own proxy reported no spare circuit towards the destination.
+        """
+        destination = call.offer.destination
+        is_foreign_pool = self.settings.pool_topology and tandem.cell not in call.call_class.pools
+        if tandem.cell == destination or tandem.address in call.excluded_tandems or is_foreign_pool:
             return False
-        if self.now < far.back.get(to, (-math.inf, 0.0))[0] or far.gap.t or self.cold(far):
+        if (
+            self.now < tandem.back_off_by_destination.get(destination, (-math.inf, 0.0))[0]
+            or tandem.gap.interval_ms
+            or self.is_cold(tandem)
+        ):
             return False
-        # A caller of a proxy that is down may come here with a call for the own exchange. It can only go
-        # out over a tandem and back on the same group, on circuits and work of two calls: where much is free.
-        if to == self.set.home and far.free < max(HAIRPIN * far.circuits, 2 * call.offer.width):
+        # A call for the own exchange comes from a caller whose proxy is down. It can only go out to a tandem
+        # and back on the same group, and so takes the circuits and work of two calls: allowed only where much
+        # of the group is free.
+        if destination == self.settings.home and tandem.free_circuits < max(
+            MIN_FREE_SHARE_FOR_HAIRPIN * tandem.circuits, 2 * call.offer.width
+        ):
+            return False
+        if (
+            self.now - tandem.spare_cell_bits_at < self.probe_interval_ms + MAX_FIGURE_AGE_MS
+            and not tandem.spare_cell_bits >> destination & 1
+        ):
             return False
-        if self.now - far.told_map_at < self.turn_ms + STALE_MS and not far.room_map >> to & 1:
-            return False  # its own proxy says that it has no circuit to spare there
         return (
-            far.free >= call.offer.width + self.allowance(far, call.kind)
-            and self.gate(call, far)
-            and not far.silent(self.now)
-            and self.allowed(call, far)
+            tandem.free_circuits >= call.offer.width + self.reserved_circuits(tandem, call.call_class)
+            and self.processor_admits(call, tandem)
+            and not tandem.is_unresponsive(self.now)
+            and self.may_send(call, tandem)
         )
 
     def decide(self, call: CallRecord) -> None:
-        """Send, hold or answer."""
-        if self.now >= call.offer.deadline_ms - ANSWER_MS:
-            self.answer(call)
+        """Send a set-up for a call, hold the call, or give the final answer (refuse or fail)."""
+        if self.now >= call.offer.deadline_ms - DEADLINE_MARGIN_MS:
+            self.refuse_or_fail(call)
             return
-        far = self.route(call) if self.now >= call.not_before else None
-        if far is not None and self.issue(call, far):
+        exchange = self.choose_route(call) if self.now >= call.not_before else None
+        if exchange is not None and self.send_set_up(call, exchange):
             return
-        # Given up on, so answered at once whatever it waits for: no set-up can leave before its deadline, or
-        # it will be late once its release is over while its ends keep late calls off.
-        ready = max(self.now, call.not_before)
-        over = call.attempts >= self.set.max_attempts or ready >= call.offer.deadline_ms - ANSWER_MS
-        late = self.late(call) or ready - call.began > call.kind.aim_ms
-        waited = ready == self.now and (late or self.now - call.came > HOLD * call.kind.aim_ms)
-        # A call for the own exchange (see as_tandem) is not waited for.
-        here = call.offer.destination == self.set.home
-        if here or call.offer.in_transit or over or waited or (late and self.pressed(call)):
-            self.answer(call)
+        # A call without prospects is refused or failed at once: no set-up can be sent before its deadline, or
+        # it will be late after the release wait, and the gapped processors of its path get no late calls.
+        earliest_at = max(self.now, call.not_before)
+        no_attempt_left = (
+            call.attempts >= self.settings.max_attempts
+            or earliest_at >= call.offer.deadline_ms - DEADLINE_MARGIN_MS
+        )
+        misses_aim = self.misses_aim(call) or earliest_at - call.first_tried_at > call.call_class.aim_ms
+        has_waited = earliest_at == self.now and (
+            misses_aim or self.now - call.offered_at > MAX_HOLD_SHARE_OF_AIM * call.call_class.aim_ms
+        )
+        # A call for the own exchange (see may_use_as_tandem) is not held.
+        is_for_home = call.offer.destination == self.settings.home
+        if (
+            is_for_home
+            or call.offer.in_transit
+            or no_attempt_left
+            or has_waited
+            or (misses_aim and self.path_is_gapped(call))
+        ):
+            self.refuse_or_fail(call)
             return
-        self.held[call.offer.call] = call
-        self.keep_polling()
-
-    def serve_held(self) -> None:
-        """Held calls, worthiest first, those in their aim before the late ones."""
-        order = sorted(self.held.values(), key=lambda c: (self.late(c), -self.density(c.kind), -c.began))
-        self.held = {}
-        for call in order:
+        self.held_calls[call.offer.call] = call
+        self.ensure_polling()
+
+    def decide_held_calls(self) -> None:
+        """Decide on all held calls: late ones last, then by worth density, then newest first."""
+        calls_in_order = sorted(
+            self.held_calls.values(),
+            key=lambda held_call: (
+                self.misses_aim(held_call),
+                -self.worth_density(held_call.call_class),
+                -held_call.first_tried_at,
+            ),
+        )
+        self.held_calls = {}
+        for call in calls_in_order:
             self.decide(call)
 
-    def answer(self, call: CallRecord) -> None:
-        """The one final answer of this side: refused where that is allowed, else failed."""
-        self.turned += call.offer.in_transit
+    def refuse_or_fail(self, call: CallRecord) -> None:
+        """Give a call its one final answer and forget it: a refusal if a redial is harmless, else a failure.
+
+        It is harmless if the class may always be repeated, no attempt can have run, or all exchanges discard
+        repeats. The first try of the call is kept, to recognise its redial.
+        """
+        self.refused_transit_calls += call.offer.in_transit
         if not call.offer.in_transit and not call.offer.was_cut:
-            self.first_tries.setdefault(call.offer.number, call.began)
-        grouped = call.kind.repeat is RetryPolicy.WITHIN_GROUP and call.kind.repeat_group == "all"
-        refusable = call.kind.repeat is RetryPolicy.ALWAYS or call.ran is None or grouped
-        name = call.offer.call
-        self.actions.append(Refuse(name, self.stay_away(call)) if refusable else Fail(name))
-        self.drop(call.offer.call)
-
-    def stay_away(self, call: CallRecord) -> float:
-        """When another try may fare better: gaps and pauses on its way are over, and, where no circuit was
-        free, one has come back by the calls' mean length. Told to callers where the protocol can say it."""
-        far = self.by_cell.get(call.offer.destination, self.own)
-        waits = [
-            max(each.gap.release if each.gap.t else 0.0, each.pause_until) - self.now
-            for each in (far, self.own)
+            self.first_try_times.setdefault(call.offer.number, call.first_tried_at)
+        is_deduplicated = (
+            call.call_class.retry_policy is RetryPolicy.WITHIN_GROUP and call.call_class.retry_group == "all"
+        )
+        may_refuse = (
+            call.call_class.retry_policy is RetryPolicy.ALWAYS or call.possible_run is None or is_deduplicated
+        )
+        call_id = call.offer.call
+        self.actions.append(Refuse(call_id, self.retry_after_ms(call)) if may_refuse else Fail(call_id))
+        self.forget_call(call.offer.call)
+
+    def retry_after_ms(self, call: CallRecord) -> float:
+        """Wait after which a redial has better prospects; sent to callers where their protocol carries it.
+
+        By then the gaps and pauses of the destination and of the own processor are over, an unresponsive
+        destination may be tested again, and, if no circuit was free, one is on average, by the mean length of
+        calls. Limited to MIN_RETRY_AFTER_MS and the longest wait that callers respect.
+        """
+        exchange = self.exchanges_by_cell.get(call.offer.destination, self.own_processor)
+        waits_ms = [
+            max(processor.gap.next_set_up_at if processor.gap.interval_ms else 0.0, processor.pause_until)
+            - self.now
+            for processor in (exchange, self.own_processor)
         ]
-        if far.silent(self.now):
-            waits.append(SILENT_MS)
-        if far.free < call.offer.width:
-            waits.append(call.kind.holding_ms * call.offer.width / max(far.circuits, 1))
-        return min(max(AWAY_MS, *waits), self.set.longest_away_ms)
-
-    def drop(self, call_id: int) -> None:
+        if exchange.is_unresponsive(self.now):
+            waits_ms.append(UNRESPONSIVE_MS)
+        if exchange.free_circuits < call.offer.width:
+            waits_ms.append(call.call_class.holding_ms * call.offer.width / max(exchange.circuits, 1))
+        return min(max(MIN_RETRY_AFTER_MS, *waits_ms), self.settings.max_retry_after_ms)
+
+    def forget_call(self, call_id: int) -> None:
+        """Remove a call; its outstanding attempt remains with the exchange until it ends."""
         self.calls.pop(call_id, None)
-        self.held.pop(call_id, None)
-        self.flying.pop(call_id, None)
-
-    def cold(self, far: RemoteExchange) -> bool:
-        return far.born > 0 and self.now < far.born + self.set.cold_ms
-
-    def cold_room(self, far: RemoteExchange) -> bool:
-        """Own part of the cold budget: by count over the sliding window, or by turns where it is under one.
-        In turns, slots of a window each go round by this proxy's number, one set-up a turn; a sliding window
-        meets two slots, so a round has twice the slots. All proxies together keep the budget even if a call
-        waits at each. A restarted proxy forgot what it sent and waits. Could hurt: few calls meet a turn."""
-        if not self.cold(far):
-            far.cold_log.clear()
+        self.held_calls.pop(call_id, None)
+        self.cancellable_set_ups.pop(call_id, None)
+
+    def is_cold(self, exchange: RemoteExchange) -> bool:
+        """Whether the processor started so recently that it has not reached its full capacity."""
+        return exchange.up_since > 0 and self.now < exchange.up_since + self.settings.cold_ms
+
+    def within_cold_budget(self, exchange: RemoteExchange) -> bool:
+        """Whether this proxy's part of a cold processor's budget of set-ups allows one more.
+
+        A cold processor fails if it gets more than `overload_multiple` times its present capacity for
+        `overload_ms`, the window. The budget for a window is divided evenly, so that all proxies together
+        keep it even if each has a call waiting. A part of one set-up or more is counted over the sliding
+        window. A smaller one is used in turns: the time since the start is divided into slots of one window,
+        given to the proxies in rotation, one set-up a turn; a sliding window overlaps two slots, so a round
+        has twice as many. A restarted proxy does not know what it sent, and waits for a window or the next
+        slot. Drawback: few calls arrive in a turn.
+        """
+        if not self.is_cold(exchange):
+            exchange.cold_set_up_times.clear()
             return True
-        window = max(self.set.fall_ms, self.set.step_ms)
-        while far.cold_log and far.cold_log[0] <= self.now - window:
-            far.cold_log.popleft()
-        slot = max(0.0, self.now - far.born) // window
-        age = slot * window / self.set.cold_ms
-        share = self.set.cold_capacity + (1.0 - self.set.cold_capacity) * age * age
-        whole = self.set.fall_multiple * share * self.warm_capacity * window / 1000.0
-        part = COLD_SAFETY * whole / self.set.proxies
-        if part < 1.0:
-            turns = math.ceil(2.0 / max(part, 0.001))
-            if int(slot) % turns != self.set.me % turns or self.began > far.born + slot * window > far.born:
+        window_ms = max(self.settings.overload_ms, self.settings.step_ms)
+        while exchange.cold_set_up_times and exchange.cold_set_up_times[0] <= self.now - window_ms:
+            exchange.cold_set_up_times.popleft()
+        slot_index = max(0.0, self.now - exchange.up_since) // window_ms
+        warm_up = slot_index * window_ms / self.settings.cold_ms
+        capacity_share = self.settings.cold_capacity + (1.0 - self.settings.cold_capacity) * warm_up * warm_up
+        total_budget = (
+            self.settings.overload_multiple * capacity_share * self.warm_capacity_per_s * window_ms / 1000.0
+        )
+        own_budget = USED_SHARE_OF_COLD_BUDGET * total_budget / self.settings.proxies
+        if own_budget < 1.0:
+            turns_per_round = math.ceil(2.0 / max(own_budget, 0.001))
+            if (
+                int(slot_index) % turns_per_round != self.settings.proxy_index % turns_per_round
+                or self.started_at > exchange.up_since + slot_index * window_ms > exchange.up_since
+            ):
                 return False
-        forgot = part >= 1.0 and self.began > far.born and self.now < self.began + window
-        return not forgot and len(far.cold_log) < max(1, int(part))
-
-    def allowed(self, call: CallRecord, far: RemoteExchange) -> bool:
-        """All guards of the rules, for one set-up; nothing is sent past them."""
-        offer, kind, ran = call.offer, call.kind, call.ran
-        if offer.call not in self.calls or call.out is not None or call.standing:
+        history_is_lost = (
+            own_budget >= 1.0
+            and self.started_at > exchange.up_since
+            and self.now < self.started_at + window_ms
+        )
+        return not history_is_lost and len(exchange.cold_set_up_times) < max(1, int(own_budget))
+
+    def may_send(self, call: CallRecord, exchange: RemoteExchange) -> bool:
+        """Whether all rules allow a set-up of this call to this exchange; `send_set_up` checks it always.
+
+        The call is known, has no outstanding attempt, is not answered, is past its release wait, before its
+        deadline and within its attempts. The exchange is not the own one and, in transit, is the destination.
+        It and the destination are ready and within their cold budgets. After an attempt that may have run,
+        the class's retry policy has to allow another.
+        """
+        offer, call_class, possible_run = call.offer, call.call_class, call.possible_run
+        if offer.call not in self.calls or call.outstanding_address is not None or call.standing:
             return False
-        if not call.not_before <= self.now < offer.deadline_ms or call.attempts >= self.set.max_attempts:
+        if not call.not_before <= self.now < offer.deadline_ms or call.attempts >= self.settings.max_attempts:
             return False
-        if far.cell == self.set.home or (offer.in_transit and far.cell != offer.destination):
+        if exchange.cell == self.settings.home or (offer.in_transit and exchange.cell != offer.destination):
             return False
-        for each in (far, self.by_cell.get(offer.destination, far)):  # a tandem call ends there too
-            if each.state is not ExchangeState.READY or not self.cold_room(each):
+        # A tandem call is work for the destination as well.
+        for processor in (exchange, self.exchanges_by_cell.get(offer.destination, exchange)):
+            if processor.state is not ExchangeState.READY or not self.within_cold_budget(processor):
                 return False
-        if ran is None or kind.repeat is RetryPolicy.ALWAYS:
+        if possible_run is None or call_class.retry_policy is RetryPolicy.ALWAYS:
             return True
-        in_cell = far.cell == ran[1].cell
-        same = {"all": True, "zone": far.zone == ran[1].zone}.get(kind.repeat_group, in_cell)
-        return kind.repeat is RetryPolicy.WITHIN_GROUP and same and self.now - ran[0] < kind.repeat_window_ms
+        same_cell = exchange.cell == possible_run[1].cell
+        in_retry_group = {"all": True, "zone": exchange.zone == possible_run[1].zone}.get(
+            call_class.retry_group, same_cell
+        )
+        return (
+            call_class.retry_policy is RetryPolicy.WITHIN_GROUP
+            and in_retry_group
+            and self.now - possible_run[0] < call_class.retry_window_ms
+        )
+
+    def send_set_up(self, call: CallRecord, exchange: RemoteExchange) -> bool:
+        """Send a set-up if `may_send` allows it, and count it; the only place that sends one.
 
-    def issue(self, call: CallRecord, far: RemoteExchange) -> bool:
-        """The only place a set-up leaves from."""
-        if not self.allowed(call, far):
+        It counts for the gaps and cold budgets of the exchange, the destination and the own processor, and
+        for the gap of the number. Returns whether it was sent.
+        """
+        if not self.may_send(call, exchange):
             return False
         offer = call.offer
-        call.out = far.address
+        call.outstanding_address = exchange.address
         call.attempts += 1
-        call.sent = (self.now, far)
-        if self.set.may_cancel and not offer.in_transit:
-            self.flying[offer.call] = self.now
-            self.keep_polling()
-        call.ran = call.ran or call.sent
-        direct = self.by_cell[offer.destination]
-        for each in {far.address: far, direct.address: direct, "": self.own}.values():
-            each.gap.take(self.now)
-            each.sent += 1
-            if self.cold(each):
-                each.cold_log.append(self.now)
-        number = self.numbers.get(offer.number)
+        call.last_attempt = (self.now, exchange)
+        if self.settings.may_cancel and not offer.in_transit:
+            self.cancellable_set_ups[offer.call] = self.now
+            self.ensure_polling()
+        call.possible_run = call.possible_run or call.last_attempt
+        destination_exchange = self.exchanges_by_cell[offer.destination]
+        for processor in {
+            exchange.address: exchange,
+            destination_exchange.address: destination_exchange,
+            "": self.own_processor,
+        }.values():
+            processor.gap.record_set_up(self.now)
+            processor.set_ups_sent += 1
+            if self.is_cold(processor):
+                processor.cold_set_up_times.append(self.now)
+        number = self.called_numbers.get(offer.number)
         if number is not None:
-            number.gap.take(self.now)
-        far.out[offer.call] = self.own.out[offer.call] = far.last_sent = self.own.last_sent = self.now
-        far.free -= offer.width
-        timeout = max(offer.deadline_ms - self.now - self.set.step_ms, self.set.step_ms)
-        self.actions.append(SetUp(offer.call, far.address, timeout))
+            number.gap.record_set_up(self.now)
+        exchange.outstanding_set_ups[offer.call] = self.own_processor.outstanding_set_ups[offer.call] = (
+            exchange.last_set_up_at
+        ) = self.own_processor.last_set_up_at = self.now
+        exchange.free_circuits -= offer.width
+        timeout_ms = max(offer.deadline_ms - self.now - self.settings.step_ms, self.settings.step_ms)
+        self.actions.append(SetUp(offer.call, exchange.address, timeout_ms))
         return True
 
     def log(self, text: str) -> None:
-        if self.lines < KEEP_LINES:
-            self.lines += 1
+        """Log a line for the operator, up to MAX_LOG_LINES in the life of this controller."""
+        if self.log_lines < MAX_LOG_LINES:
+            self.log_lines += 1
             self.actions.append(Log(text))
--- a/mintvalve/core/call_manager.py
+++ b/mintvalve/core/call_manager.py
@@ -183,8 +183,8 @@
             now = self.exchanges.get(name)
             if now is None or now.state is ExchangeState.GONE:
                 self.cut_calls(name, math.inf)
-            elif now.born_ms != was.born_ms:
-                self.cut_calls(name, now.born_ms)
+            elif now.up_since_ms != was.up_since_ms:
+                self.cut_calls(name, now.up_since_ms)
 
     def on_timer(self, token: int) -> None:
         """A timer of the desk."""
--- a/mintvalve/core/rules.py
+++ b/mintvalve/core/rules.py
@@ -25,7 +25,7 @@
 
     @classmethod
     def of(cls, settings: Settings) -> SetUpRules:
-        cells = 0 if settings.pools else settings.proxies
+        cells = 0 if settings.pool_topology else settings.proxies
         return cls(settings.home, settings.max_attempts, settings.release_wait_ms, cells)
 
     def out_of_range(self, request: CallRequest) -> str:
--- a/mintvalve/net/exchange_links.py
+++ b/mintvalve/net/exchange_links.py
@@ -57,8 +57,8 @@
 KNOWN_CAUSES = {*OUTCOME_BY_CAUSE, ReleaseCause.NORMAL, ReleaseCause.TEMPORARY, ReleaseCause.CONGESTION}
 CLEARING_CAUSE_BY_NOTE = {
     "group_full": ClearingCause.NO_CIRCUIT,
-    "tandem_refused": ClearingCause.TURNED_BACK,
-    "destination_full": ClearingCause.TURNED_BACK_BEYOND_FULL,
+    "tandem_refused": ClearingCause.TANDEM_REFUSED,
+    "destination_full": ClearingCause.DESTINATION_FULL,
     "processor_full": ClearingCause.PROCESSOR_FULL,
     "user_busy": ClearingCause.NUMBER_BUSY,
 }
--- a/mintvalve/settings.py
+++ b/mintvalve/settings.py
@@ -125,11 +125,11 @@
                 late_worth=parse_number(get(prefix + "LateValue", "0")),
                 width=int(parse_number(item_or_default(circuits_per_call, class_index, "1"))),
                 holding_ms=parse_number(item_or_default(holding_times_ms, class_index, "10000")),
-                repeat=RETRY_POLICIES.get(
+                retry_policy=RETRY_POLICIES.get(
                     get(prefix + "Effect", "idempotent"), interface.RetryPolicy.NEVER_AFTER_RUN
                 ),
-                repeat_group=get(prefix + "Group", "all"),
-                repeat_window_ms=parse_number(get(prefix + "WindowMs", "0")),
+                retry_group=get(prefix + "Group", "all"),
+                retry_window_ms=parse_number(get(prefix + "WindowMs", "0")),
                 pools=class_pools_by_index.get(class_index, ()),
             )
         )
@@ -137,16 +137,16 @@
         proxies=parse_integer(flat_settings["Balancers"]),
         home=parse_integer(get("Specifics.HomeNo", "-1")),
         classes=tuple(classes),
-        me=parse_integer(get("Me", "0")),
+        proxy_index=parse_integer(get("Me", "0")),
         zone=get("Zone", ""),
-        pools=get("Specifics.Topology", "network") == "skills",
+        pool_topology=get("Specifics.Topology", "network") == "skills",
         subscribe=get("Discovery", "automatic") == "subscribe",
         max_attempts=parse_integer(get("Limits.SendCap", "1")),
         may_probe=get("Limits.Probes") == "true",
         may_cancel=get("Limits.Cancelling") == "true",
-        may_tell=get("Limits.Peers") == "true",
-        tells_wait=get("Specifics.RetryHint") == "true",
-        advice=get("Specifics.Advice") == "true",
+        may_message_peers=get("Limits.Peers") == "true",
+        sends_retry_hint=get("Specifics.RetryHint") == "true",
+        has_tandem_advice=get("Specifics.Advice") == "true",
         report_fields=tuple(
             LOAD_REPORT_FIELDS.get(name, name) for name in split_list(get("Telemetry.Fields", ""))
         ),
@@ -156,11 +156,11 @@
         answer_slack_ms=parse_number(get("Safety.AnswerSlackMs", "0")),
         cold_capacity=parse_number(get("Safety.StartCapacity", "1")),
         cold_ms=parse_number(get("Safety.ColdMs", "0")),
-        fall_multiple=parse_number(get("Safety.FallMultiple", "1")),
-        fall_ms=parse_number(get("Safety.TipAfterMs", "0")),
+        overload_multiple=parse_number(get("Safety.FallMultiple", "1")),
+        overload_ms=parse_number(get("Safety.TipAfterMs", "0")),
         resend_ms=parse_number(get("Specifics.T1Ms", "0")),
         step_ms=parse_number(get("StepMs", "1")),
-        longest_away_ms=parse_number(get("Limits.MaxRetryAfterMs", "2000")),
+        max_retry_after_ms=parse_number(get("Limits.MaxRetryAfterMs", "2000")),
         probe_price=parse_number(get("Prices.Probe", "0")),
     )
 
@@ -208,5 +208,7 @@
     last one, and the set-ups to a cold processor are counted over a window that is longer by `slack_ms`.
     """
     return replace(
-        settings, release_wait_ms=settings.release_wait_ms + slack_ms, fall_ms=settings.fall_ms + slack_ms
+        settings,
+        release_wait_ms=settings.release_wait_ms + slack_ms,
+        overload_ms=settings.overload_ms + slack_ms,
     )
--- a/mintvalve/simulator_adapter.py
+++ b/mintvalve/simulator_adapter.py
@@ -54,7 +54,7 @@
         cell=parse_integer(fields[4]),
         state=EXCHANGE_STATES[parse_integer(fields[5])],
         zone=fields[2],
-        born_ms=parse_number(started_at),
+        up_since_ms=parse_number(started_at),
     )
 
 
@@ -181,7 +181,7 @@
             case "COMPLETED":
                 clear_code = parse_integer(fields[8])
                 # This clear code is a cause of its own, above the factor, and carries no wait.
-                full_beyond_tandem = clear_code == interface.ClearingCause.TURNED_BACK_BEYOND_FULL
+                full_beyond_tandem = clear_code == interface.ClearingCause.DESTINATION_FULL
                 return interface.AttemptEnded(
                     call=int(fields[2]),
                     attempt=int(fields[3]),
@@ -189,7 +189,7 @@
                     outcome=OUTCOMES[int(fields[5])],
                     elapsed_ms=parse_number(fields[6]),
                     ended=fields[7] == "1",
-                    clearing=clear_code if full_beyond_tandem else clear_code % CLEAR_CODE_WAIT_FACTOR,
+                    clearing_cause=clear_code if full_beyond_tandem else clear_code % CLEAR_CODE_WAIT_FACTOR,
                     wait_ms=0.0 if full_beyond_tandem else float(clear_code // CLEAR_CODE_WAIT_FACTOR),
                     report=parse_load_report(fields[9]),
                 )
