--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -75,14 +75,14 @@
         if chance < 0.01:
             return  # the answer got lost
         if chance < 0.015:
-            stand_in.connection_by_call[message.call].send(b"\xff" * 24)
+            stand_in.connection_by_call[message.call_id].send(b"\xff" * 24)
         elif chance < 0.02:
-            stand_in.connection_by_call[message.call].close_now("broken off")
+            stand_in.connection_by_call[message.call_id].close_now("broken off")
         elif chance < 0.05:
-            stand_in.release(message.call, ReleaseCause.NO_CIRCUIT, "processor_full")
+            stand_in.release(message.call_id, ReleaseCause.NO_CIRCUIT, "processor_full")
         else:
-            stand_in.answer(message.call)
-            self.there[message.call] = stand_in
+            stand_in.answer(message.call_id)
+            self.there[message.call_id] = stand_in
 
     def batch(self, number: int) -> None:
         """Some calls come, some end, and something breaks."""
@@ -123,18 +123,18 @@
             and call in self.rig.call_manager.by_identity
             and stand_in in self.rig.exchanges
         ):
-            stand_in.end_call(call, ReleaseCause.NORMAL)
+            stand_in.end_call(call, ReleaseCause.NORMAL_CLEARING)
             self.untold.add(call)
             self.counts["ended by exchanges"] += 1
 
     def hear(self, caller: BinaryClient, number: int) -> None:
         for message in caller.messages:
-            if message.kind == MessageType.ANSWER:
+            if message.message_type == MessageType.ANSWER:
                 self.counts["stood"] += 1
-                self.up[message.call] = number + self.random.randint(1, HOLD)
-            elif message.kind == MessageType.RELEASE:
-                self.untold.discard(message.call)
-                self.up.pop(message.call, None)
+                self.up[message.call_id] = number + self.random.randint(1, HOLD)
+            elif message.message_type == MessageType.RELEASE:
+                self.untold.discard(message.call_id)
+                self.up.pop(message.call_id, None)
         caller.messages.clear()
         caller.received.clear()
 
@@ -174,7 +174,9 @@
             stand_in.connection_by_call = kept
             report = f"x0:{ROOM};x1:{ROOM}".encode()
             for connection in list(stand_in.decoders):
-                connection.send(encode(Message(MessageType.GROUP_STATE, 0, {ParameterCode.REPORT: report})))
+                connection.send(
+                    encode(Message(MessageType.GROUP_STATE, 0, {ParameterCode.LOAD_REPORT: report}))
+                )
         self.there = {
             call: where for call, where in self.there.items() if call in self.rig.call_manager.by_identity
         }
@@ -193,7 +195,9 @@
             "lines that may answer late": sum(len(each.attempts.tainted) for each in links),
             "releases to exchanges": sum(len(each.releases) for each in links),
             "releases to callers": len(rig.binary_front.releases),
-            "callers' open set-ups": sum(len(each.calls) for each in rig.binary_front.sessions.values()),
+            "callers' open set-ups": sum(
+                len(each.unanswered_calls) for each in rig.binary_front.sessions.values()
+            ),
             "module: calls": len(module.calls),
             "module: held": len(module.held_calls),
             "module: out": sum(len(each.outstanding_set_ups) for each in ends),
--- a/mintvalve/__main__.py
+++ b/mintvalve/__main__.py
@@ -23,8 +23,14 @@
 from mintvalve.net.binary_front import BinaryFront
 from mintvalve.net.exchange_links import ExchangeLinks
 from mintvalve.net.loop import Loop
-from mintvalve.net.websocket_front import Options, WebSocketFront
-from mintvalve.net.name_server_client import ListedExchange, NameServerClient, host_port, known_events, merged
+from mintvalve.net.websocket_front import WebSocketOptions, WebSocketFront
+from mintvalve.net.name_server_client import (
+    ListedExchange,
+    NameServerClient,
+    parse_host_port,
+    parse_known_events,
+    merge_events,
+)
 from mintvalve.settings import flatten_settings, extend_time_limits, build_settings
 
 log = logging.getLogger("mintvalve")
@@ -33,7 +39,9 @@
 FEWEST = 16  # connections of callers at the least
 
 
-def build(config: dict[str, Any], websocket: Options | None, read: Callable[[], dict[str, Any]]) -> Lifecycle:
+def build(
+    config: dict[str, Any], websocket: WebSocketOptions | None, read: Callable[[], dict[str, Any]]
+) -> Lifecycle:
     """All parts, from a configuration, which `read` reads again."""
     pairs = flatten_settings(config["settings"])
     settings = extend_time_limits(build_settings(pairs), SLACK_MS)
@@ -56,9 +64,9 @@
         board.on_exchange_list([entry.exchange for entry in held.values()], kind)
 
     known = config.get("known", {})
-    tell(merged(known_events(known)), ListUpdateKind.CACHED)
-    names = NameServerClient(loop, host_port(config["nameserver"]), int(known.get("seq", 0)), tell)
-    listen = host_port(os.environ.get("PROXY_LISTEN") or config["listen"])
+    tell(merge_events(parse_known_events(known)), ListUpdateKind.CACHED)
+    names = NameServerClient(loop, parse_host_port(config["nameserver"]), int(known.get("seq", 0)), tell)
+    listen = parse_host_port(os.environ.get("PROXY_LISTEN") or config["listen"])
 
     def room(config: dict[str, Any]) -> int:
         sockets = int(config.get("limits", {}).get("sockets", 1024)) - SPARE_DESCRIPTORS
@@ -69,10 +77,10 @@
     def read_again() -> None:
         """What can change under way is taken up at once; all of the file is read before any of it is."""
         new = read()
-        fresh, server, places = new.get("known", {}), host_port(new["nameserver"]), room(new)
-        events, again = known_events(fresh), flatten_settings(new["settings"])
+        fresh, server, places = new.get("known", {}), parse_host_port(new["nameserver"]), room(new)
+        events, again = parse_known_events(fresh), flatten_settings(new["settings"])
         build_settings(again)
-        names.move(server, events)
+        names.reconfigure(server, events)
         for front in binary:
             front.listener.max_connections = places
         changed = sorted({name for name, _ in pairs.items() ^ again.items()})
@@ -83,7 +91,7 @@
         binary[:] = [BinaryFront(loop, board, listen, room(config), exchanges.release_everywhere)]
         opened: list[Front] = [*binary]
         if websocket is not None:
-            opened.append(WebSocketFront(loop, board, websocket, host_port(websocket.listen)))
+            opened.append(WebSocketFront(loop, board, websocket, parse_host_port(websocket.listen)))
         exchanges.on_unknown_release = binary[0].release_unknown_call
         return opened
 
@@ -117,11 +125,11 @@
     parser.add_argument("--config", default=os.environ.get("PROXY_CONFIG"), help="default: $PROXY_CONFIG")
     parser.add_argument("--websocket", metavar="FILE", help="open the WebSocket front that FILE describes")
     chosen = parser.parse_args(arguments)
-    logs.start(os.environ.get("MINTVALVE_LOG", "info"))
+    logs.configure(os.environ.get("MINTVALVE_LOG", "info"))
     if not chosen.config:
         parser.error("no configuration: give --config or set PROXY_CONFIG")
     try:
-        websocket = Options.parse(Path(chosen.websocket).read_text()) if chosen.websocket else None
+        websocket = WebSocketOptions.parse(Path(chosen.websocket).read_text()) if chosen.websocket else None
         path = Path(chosen.config)
         lifecycle = build(read_file(path), websocket, lambda: read_file(path))
     except (OSError, ValueError, KeyError, TypeError) as fault:
--- a/mintvalve/config/files.py
+++ b/mintvalve/config/files.py
@@ -12,8 +12,8 @@
 from mintvalve.config.applications import Application, Wrong, address, derived, settings_faults
 from mintvalve.config.faults import Fault, Unusable
 from mintvalve.config.inventory import merge, text_of
-from mintvalve.net.name_server_client import known_events
-from mintvalve.net.websocket_front import Options
+from mintvalve.net.name_server_client import parse_known_events
+from mintvalve.net.websocket_front import WebSocketOptions
 
 CONFIG, WEBSOCKET = "config.json", "websocket.toml"
 
@@ -124,7 +124,7 @@
         if not isinstance(known, dict):
             raise ValueError("must be an object")
         int(known["seq"])
-        members = [entry for _, _, entries in known_events(known) for entry in entries]
+        members = [entry for _, _, entries in parse_known_events(known) for entry in entries]
         if not members:
             raise ValueError("names no exchange")
     except (KeyError, TypeError, ValueError, AttributeError) as wrong:
@@ -154,7 +154,7 @@
     def row(key: str) -> int:
         return next((n for n, line in enumerate(lines, 1) if line.partition("=")[0].strip() == key), 0)
 
-    found = [Fault(file, row(key), key, wrong) for key, wrong in Options.faults(table)]
+    found = [Fault(file, row(key), key, wrong) for key, wrong in WebSocketOptions.find_faults(table)]
     if isinstance(table.get("listen"), str):
         try:
             address(table["listen"])
--- a/mintvalve/net/binary_front.py
+++ b/mintvalve/net/binary_front.py
@@ -1,4 +1,7 @@
-"""The platform's binary protocol towards callers: thin, the switchboard does the work."""
+"""The front for callers that use the platform's binary protocol.
+
+It translates between messages and the call manager, which owns all calls.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 from mintvalve.core.calls import Call, CallState, CallRequest
 from mintvalve.core.call_manager import CallManager, SetUpRejected
 from mintvalve.net.codec import (
-    FROM_CALLERS,
+    CALLER_MESSAGE_TYPES,
     ProtocolError,
     ReleaseCause,
     ParameterCode,
@@ -18,34 +21,34 @@
     MessageType,
     Message,
     encode,
-    release,
-    whole,
+    encode_release,
+    parse_integer,
 )
 from mintvalve.net.connection import Connection, Listener
 from mintvalve.net.release_scheduler import ReleaseScheduler
 from mintvalve.net.loop import Loop
 
 log = logging.getLogger("mintvalve.front.binary")
-MOST_UNREAD = 65_536  # bytes; a caller that leaves more unread is cut off
-MOST_FAULTS = 8  # set-ups that can't be taken; then their connection is closed
-TURN = 32  # messages of one caller in a turn; then the others have theirs
-KEEP_MS = 30_000.0  # ms; a release that its caller has not heard by then is dropped
-RELEASES_MOST = 4096  # releases on their way to callers
+MAX_OUTBOUND_BYTES = 65_536  # buffered for one caller; beyond that its connection is closed
+MAX_REJECTED_SET_UPS = 8  # in a row on one connection; then it is closed
+MESSAGES_PER_TURN = 32  # of one caller in one turn of the loop
+RELEASE_RETENTION_MS = 30_000.0  # a release not acknowledged by then is discarded
+MAX_PENDING_RELEASES = 4096
 
 
 @dataclass(slots=True, eq=False)
 class BinarySession:
-    """One caller's connection."""
+    """One caller's connection. Releases are sent on it as on any `ReleaseConnection`."""
 
     connection: Connection
     host: str
-    decoder: Decoder = field(default_factory=lambda: Decoder(FROM_CALLERS))
-    calls: dict[int, Call] = field(default_factory=dict)  # by own number: taken, not answered
-    standing: int = 0  # calls set up on it that stand
-    served: bool = False  # a call that it brought stood
+    decoder: Decoder = field(default_factory=lambda: Decoder(CALLER_MESSAGE_TYPES))
+    unanswered_calls: dict[int, Call] = field(default_factory=dict)  # by `Call.number`
+    standing_calls: int = 0  # standing calls that were set up on it
+    has_answered_call: bool = False  # a call set up on it has been answered
     acknowledges: bool = False  # it has acknowledged a release
     last_data_at: float = -math.inf
-    faults: int = 0  # set-ups in a row that could not be taken
+    rejected_set_ups: int = 0  # in a row, since the last accepted one
 
     @property
     def is_open(self) -> bool:
@@ -53,220 +56,254 @@
 
     @property
     def is_trusted(self) -> bool:
-        """Guards against telling a release to a client that means nothing by its connection: on a day of bad
-        clients most connections are of that kind."""
-        return self.served or self.acknowledges
+        """Whether the caller is known to handle calls.
+
+        Guards against sending a release to a client that opens connections without placing calls; bad
+        clients can hold most of the connections.
+        """
+        return self.has_answered_call or self.acknowledges
 
     def send(self, data: bytes) -> bool:
-        """A caller that leaves a whole buffer unread is cut off: with a gap it would hear nothing true."""
+        """Sends bytes; False if the connection is closed.
+
+        A full buffer closes it, since a caller that misses messages would have a wrong view of its calls.
+        """
         if self.connection.is_open and not self.connection.send(data):
-            self.connection.close_now("the caller does not read")
+            self.connection.close_now("outbound buffer full")
         return self.connection.is_open
 
 
-def request_from(message: Message) -> CallRequest:
-    """A set-up as a request; BadBytes where it can't be read."""
+def parse_set_up(message: Message) -> CallRequest:
+    """Converts a SET_UP message to a request; raises ProtocolError if it is malformed."""
     if (
-        not message.call
-        or not message.text(ParameterCode.CLASS)
-        or not message.text(ParameterCode.CALLED).isprintable()
+        not message.call_id
+        or not message.text(ParameterCode.CALL_CLASS)
+        or not message.text(ParameterCode.CALLED_NUMBER).isprintable()
     ):
-        raise ProtocolError("a set-up without an id, a class or a number that can be read")
-    figures = message.fields(ParameterCode.FIGURES)
-    dest, width, via = (
-        whole(figures.get(name, default), name)
+        raise ProtocolError(
+            f"set-up {message.call_id:016x} needs a call id other than 0, a call class and a printable number"
+        )
+    routing = message.key_values(ParameterCode.ROUTING)
+    destination, width, tandem = (
+        parse_integer(routing.get(name, default), name)
         for name, default in (("dest", ""), ("width", "1"), ("via", "-1"))
     )
     return CallRequest(
-        identity=message.call,
-        call_class=message.text(ParameterCode.CLASS),
-        called=message.text(ParameterCode.CALLED),
-        wait_ms=float(message.whole(ParameterCode.WAIT, 0)),
-        destination=dest,
+        identity=message.call_id,
+        call_class=message.text(ParameterCode.CALL_CLASS),
+        called=message.text(ParameterCode.CALLED_NUMBER),
+        wait_ms=float(message.integer(ParameterCode.WAIT_MS, 0)),
+        destination=destination,
         width=width,
-        tandem=via,
-        in_transit=figures.get("transit", "0") == "1",
-        was_cut=figures.get("again", "0") == "1",
+        tandem=tandem,
+        in_transit=routing.get("transit", "0") == "1",
+        was_cut=routing.get("again", "0") == "1",
         description=message.parameters.get(ParameterCode.DESCRIPTION),
     )
 
 
 class BinaryFront:
-    """Callers by the binary protocol."""
+    """Listens for callers and handles their sessions.
+
+    `on_unknown_release` is called with the id of each call that a caller releases and that is not open here.
+    """
 
     def __init__(
         self,
         loop: Loop,
-        switchboard: CallManager,
+        call_manager: CallManager,
         address: tuple[str, int],
-        room: int,
-        unknown: Callable[[int], None],
+        max_connections: int,
+        on_unknown_release: Callable[[int], None],
     ) -> None:
-        self.loop, self.switchboard, self.unknown = loop, switchboard, unknown
+        self.loop, self.call_manager, self.on_unknown_release = loop, call_manager, on_unknown_release
         self.sessions: dict[Connection, BinarySession] = {}
-        self.releases: ReleaseScheduler[BinarySession] = ReleaseScheduler(loop, self, KEEP_MS, RELEASES_MOST)
+        self.releases: ReleaseScheduler[BinarySession] = ReleaseScheduler(
+            loop, self, RELEASE_RETENTION_MS, MAX_PENDING_RELEASES
+        )
         self.serving = True
-        self.listener = Listener(loop, *address, self, room, MOST_UNREAD)
+        self.listener = Listener(loop, *address, self, max_connections, MAX_OUTBOUND_BYTES)
 
-    # Connections.
+    # Connection events.
 
     def on_opened(self, connection: Connection) -> None:
         try:
             host = connection.sock.getpeername()[0]
         except OSError:
             host = ""
-        talk = self.sessions[connection] = BinarySession(connection, host)
-        self.releases.on_connection_opened(talk)
+        session = self.sessions[connection] = BinarySession(connection, host)
+        self.releases.on_connection_opened(session)
 
     def on_closed(self, connection: Connection, reason: str) -> None:
         self.listener.remove_connection(connection)
-        talk = self.sessions.pop(connection)
-        log.debug("caller's connection closed", extra={"reason": reason, "calls": len(talk.calls)})
-        for call in list(talk.calls.values()):
-            self.switchboard.on_caller_left(call)
-        self.releases.on_connection_closed(talk)
+        session = self.sessions.pop(connection)
+        log.debug(
+            "caller connection closed", extra={"reason": reason, "calls": len(session.unanswered_calls)}
+        )
+        for call in list(session.unanswered_calls.values()):
+            self.call_manager.on_caller_left(call)
+        self.releases.on_connection_closed(session)
 
     def eviction_cost(self, connection: Connection) -> int:
-        """A connection with open set-ups can't be spared; where calls stand, their callers listen on it."""
-        talk = self.sessions[connection]
-        return -1 if talk.calls else talk.standing
+        """Number of standing calls, whose releases are sent on the connection; -1 with unanswered calls."""
+        session = self.sessions[connection]
+        return -1 if session.unanswered_calls else session.standing_calls
 
     def evict(self, connection: Connection) -> None:
         connection.close_now("its place is needed")
 
     def on_data(self, connection: Connection, data: bytes) -> None:
-        """Some messages a turn. Guards against one caller's burst holding up all the others."""
-        talk, whole = self.sessions[connection], 0
+        """Handles up to MESSAGES_PER_TURN messages, the rest in later turns.
+
+        Guards against a burst of one caller delaying all others.
+        """
+        session, messages_decoded = self.sessions[connection], 0
         if data:
-            talk.last_data_at = self.loop.now()
+            session.last_data_at = self.loop.now()
         try:
-            for message in talk.decoder.feed(data):
-                whole += 1
-                self.take(talk, message)
-                if whole >= TURN:
+            for message in session.decoder.feed(data):
+                messages_decoded += 1
+                self.on_message(session, message)
+                if messages_decoded >= MESSAGES_PER_TURN:
                     connection.pause_reading()
-                    self.loop.call_soon(lambda: self.go_on(connection))
+                    self.loop.call_soon(lambda: self.resume_reading(connection))
                     break
-        except ProtocolError as fault:
-            log.info("unreadable", extra={"caller": talk.host, "fault": str(fault)})
-            connection.close_now("unreadable")
-        connection.on_messages_decoded(whole, bool(talk.decoder.rest))
-
-    def go_on(self, connection: Connection) -> None:
-        """The rest of what a caller said at once."""
+        except ProtocolError as error:
+            log.info(
+                "closing caller connection after a protocol error",
+                extra={"caller": session.host, "fault": str(error)},
+            )
+            connection.close_now("protocol error")
+        connection.on_messages_decoded(messages_decoded, bool(session.decoder.buffer))
+
+    def resume_reading(self, connection: Connection) -> None:
+        """Handles further messages of a burst, from the bytes already received."""
         if connection.is_open:
             connection.resume_reading()
             self.on_data(connection, b"")
 
-    def take(self, talk: BinarySession, message: Message) -> None:
-        match message.kind:
+    def on_message(self, session: BinarySession, message: Message) -> None:
+        match message.message_type:
             case MessageType.SET_UP:
-                self.set_up(talk, message)
+                self.on_set_up(session, message)
             case MessageType.RELEASE:
-                self.release(talk, message)
-            case MessageType.RELEASE_HEARD:
-                if self.releases.on_acknowledged(message.call) and not talk.acknowledges:
-                    talk.acknowledges = True
-                    self.releases.on_connection_trusted(talk)
+                self.on_release(session, message)
+            case MessageType.RELEASE_COMPLETE:
+                if self.releases.on_acknowledged(message.call_id) and not session.acknowledges:
+                    session.acknowledges = True
+                    self.releases.on_connection_trusted(session)
             case MessageType.TEST:
-                passed = b"\1" if self.serving else b"\0"
-                talk.send(encode(Message(MessageType.TESTED, message.call, {ParameterCode.CAUSE: passed})))
+                result = b"\1" if self.serving else b"\0"
+                session.send(
+                    encode(Message(MessageType.TEST_RESULT, message.call_id, {ParameterCode.CAUSE: result}))
+                )
             case _:
                 pass
 
-    def set_up(self, talk: BinarySession, message: Message) -> None:
-        """Take it or say why not. The id of a call that is open here can't be told apart from it by any
-        answer, so a second set-up under it ends the connection, and so do many in a row that can't be
-        taken: a caller that comes again as soon as it is turned away gets a cheap answer."""
-        request = request_from(message)
-        known = self.switchboard.by_identity.get(request.identity)
-        if known is not None and isinstance(known.caller, BinaryCaller) and known.caller.session is talk:
-            raise ProtocolError("a second set-up under the id of an open call")
+    def on_set_up(self, session: BinarySession, message: Message) -> None:
+        """Offers a set-up to the call manager, and answers a rejected one with a release.
+
+        Raises ProtocolError, which closes the connection, in two cases: on a second set-up with the id of a
+        call that is open on it, since no answer could tell the two apart; and on MAX_REJECTED_SET_UPS
+        rejections in a row, unless a call is unanswered: guards against a caller that retries without pause.
+        """
+        request = parse_set_up(message)
+        open_call = self.call_manager.by_identity.get(request.identity)
+        if (
+            open_call is not None
+            and isinstance(open_call.caller, BinaryCaller)
+            and open_call.caller.session is session
+        ):
+            raise ProtocolError(f"duplicate set-up for open call {request.identity:016x}")
         try:
-            self.switchboard.offer_call(request, BinaryCaller(self, talk))
-        except SetUpRejected as fault:
-            talk.faults += 1
-            log.debug("set-up not taken", extra={"error": fault.name, "detail": str(fault)})
-            talk.send(release(message.call, ReleaseCause.FAULT))
-            if talk.faults >= MOST_FAULTS and not talk.calls:
-                raise ProtocolError(f"{talk.faults} set-ups that can't be taken") from fault
+            self.call_manager.offer_call(request, BinaryCaller(self, session))
+        except SetUpRejected as error:
+            session.rejected_set_ups += 1
+            log.debug("set-up rejected", extra={"error": error.name, "detail": str(error)})
+            session.send(encode_release(message.call_id, ReleaseCause.SIGNALLING_FAULT))
+            if session.rejected_set_ups >= MAX_REJECTED_SET_UPS and not session.unanswered_calls:
+                raise ProtocolError(f"{session.rejected_set_ups} rejected set-ups in a row") from error
         else:
-            talk.faults = 0
+            session.rejected_set_ups = 0
+
+    def on_release(self, session: BinarySession, message: Message) -> None:
+        """Handles the withdrawal of a set-up or the release of a standing call, on any connection.
 
-    def release(self, talk: BinarySession, message: Message) -> None:
-        """A set-up given up, or the end of a call that stands; it may come on any connection, and cross the
-        release of the same call, which its caller then needs no more."""
-        call = self.switchboard.by_identity.get(message.call)
+        If it crosses our release of the same call, that one need not be delivered any more.
+        """
+        call = self.call_manager.by_identity.get(message.call_id)
         if call is None:
-            self.releases.discard(message.call)
-            self.unknown(message.call)
+            self.releases.discard(message.call_id)
+            self.on_unknown_release(message.call_id)
         elif call.state is CallState.STANDING:
             if isinstance(call.caller, BinaryCaller):
-                call.caller.session.standing -= 1
-            self.switchboard.on_caller_release(call)
+                call.caller.session.standing_calls -= 1
+            self.call_manager.on_caller_release(call)
         else:
-            self.switchboard.on_caller_left(call)
-        talk.send(encode(Message(MessageType.RELEASE_HEARD, message.call)))
+            self.call_manager.on_caller_left(call)
+        session.send(encode(Message(MessageType.RELEASE_COMPLETE, message.call_id)))
 
-    # What callers hear.
+    # Messages to callers.
 
-    def write_release(self, way: BinarySession, call: int, cause: int) -> bool:
-        return way.send(release(call, cause))
+    def write_release(self, session: BinarySession, call_id: int, cause: int) -> bool:
+        """Writes a release; False if the connection is closed."""
+        return session.send(encode_release(call_id, cause))
 
-    def release_unknown_call(self, call: int, cause: int) -> None:
-        """A call of an earlier life is over: whose it was is not known."""
-        self.releases.enqueue_release(call, cause, None, "")
+    def release_unknown_call(self, call_id: int, cause: int) -> None:
+        """Sends callers the release of a call set up before this process started; its caller is not known."""
+        self.releases.enqueue_release(call_id, cause, None, "")
 
     def has_pending_releases(self) -> bool:
-        """Some caller has not heard yet, and still can."""
+        """Whether a release that is not acknowledged yet can still be delivered."""
         return self.releases.has_deliverable()
 
     def stop_accepting(self) -> None:
-        """Take no new connections."""
+        """Closes the listening socket; open connections stay."""
         self.listener.close()
 
     def close_sessions(self) -> None:
-        """The program ends; callers see it as their connections close."""
+        """Does nothing: the protocol has no closing message, and connections close as the process exits."""
 
 
 class BinaryCaller:
-    """One call's caller on this front."""
+    """The caller of one call on this front; implements the core's `Caller` port."""
 
     __slots__ = ("front", "session")
 
-    def __init__(self, front: BinaryFront, talk: BinarySession) -> None:
-        self.front, self.session = front, talk
+    def __init__(self, front: BinaryFront, session: BinarySession) -> None:
+        self.front, self.session = front, session
 
     def on_accepted(self, call: Call) -> None:
-        self.session.calls[call.number] = call
+        self.session.unanswered_calls[call.number] = call
 
     def on_withdrawn(self, call: Call) -> None:
-        self.session.calls.pop(call.number, None)
+        self.session.unanswered_calls.pop(call.number, None)
 
     def on_progress(self, call: Call) -> None:
         self.session.send(encode(Message(MessageType.PROGRESS, call.request.identity)))
 
     def on_answered(self, call: Call, description: bytes | None) -> None:
-        self.session.calls.pop(call.number, None)
-        self.session.standing += 1
-        proven, self.session.served = self.session.is_trusted, True
+        self.session.unanswered_calls.pop(call.number, None)
+        self.session.standing_calls += 1
+        was_trusted, self.session.has_answered_call = self.session.is_trusted, True
         parameters: dict[int, bytes] = {} if description is None else {ParameterCode.DESCRIPTION: description}
         self.session.send(encode(Message(MessageType.ANSWER, call.request.identity, parameters)))
-        if not proven and self.session.is_open:
+        if not was_trusted and self.session.is_open:
             self.front.releases.on_connection_trusted(self.session)
 
     def on_refused(self, call: Call, retry_after_ms: float) -> None:
-        """The protocol has no field for when to come back."""
-        self.final(call, ReleaseCause.CONGESTION)
+        """Refuses the call. The protocol has no field for `retry_after_ms`."""
+        self.end_set_up(call, ReleaseCause.CONGESTION)
 
     def on_failed(self, call: Call) -> None:
-        self.final(call, ReleaseCause.TEMPORARY)
+        self.end_set_up(call, ReleaseCause.TEMPORARY_FAILURE)
 
-    def final(self, call: Call, cause: int) -> None:
-        self.session.calls.pop(call.number, None)
-        self.session.send(release(call.request.identity, cause))
+    def end_set_up(self, call: Call, cause: int) -> None:
+        """Ends an unanswered call with a release."""
+        self.session.unanswered_calls.pop(call.number, None)
+        self.session.send(encode_release(call.request.identity, cause))
 
     def on_released(self, call: Call, cut: bool) -> None:
-        self.session.standing -= 1
-        cause = ReleaseCause.TEMPORARY if cut else ReleaseCause.NORMAL
+        self.session.standing_calls -= 1
+        cause = ReleaseCause.TEMPORARY_FAILURE if cut else ReleaseCause.NORMAL_CLEARING
         self.front.releases.enqueue_release(call.request.identity, cause, self.session, self.session.host)
--- a/mintvalve/net/codec.py
+++ b/mintvalve/net/codec.py
@@ -1,4 +1,8 @@
-"""The platform's binary messages: bytes to messages and back, nothing else."""
+"""Encoding and decoding of the platform's binary signalling messages.
+
+A message is a 2-byte length of what follows, a 1-byte type, the 8-byte call id, and parameters. A parameter
+is a 1-byte code, a 2-byte length and its value. All integers are unsigned and big-endian.
+"""
 
 from __future__ import annotations
 
@@ -7,157 +11,179 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-MOST = 16 * 1024  # bytes; no message is longer
-MOST_DIGITS = 9
-HEAD = struct.Struct(">HBQ")
-PARAMETER = struct.Struct(">BH")
-AFTER_LENGTH = HEAD.size - 2  # bytes of type and call
+MAX_MESSAGE_BYTES = 16 * 1024  # including the length field
+MAX_INTEGER_DIGITS = 9
+MESSAGE_HEADER = struct.Struct(">HBQ")  # length, type, call id
+PARAMETER_HEADER = struct.Struct(">BH")  # code, length
+HEADER_BYTES_AFTER_LENGTH = MESSAGE_HEADER.size - 2  # type and call id
 
 
 class MessageType(IntEnum):
-    """Types of messages."""
+    """Message types. RELEASE_COMPLETE acknowledges a RELEASE, TEST_RESULT answers a TEST."""
 
     SET_UP = 1
     PROGRESS = 6
     ANSWER = 9
     RELEASE = 12
-    RELEASE_HEARD = 16
+    RELEASE_COMPLETE = 16
     GROUP_STATE = 43
     TEST = 52
-    TESTED = 53
+    TEST_RESULT = 53
 
 
-FROM_CALLERS = frozenset(
+CALLER_MESSAGE_TYPES = frozenset(
     {
         MessageType.SET_UP,
         MessageType.PROGRESS,
         MessageType.RELEASE,
-        MessageType.RELEASE_HEARD,
+        MessageType.RELEASE_COMPLETE,
         MessageType.TEST,
-        MessageType.TESTED,
+        MessageType.TEST_RESULT,
     }
 )
-FROM_EXCHANGES = frozenset(MessageType) - {MessageType.SET_UP}
+EXCHANGE_MESSAGE_TYPES = frozenset(MessageType) - {MessageType.SET_UP}
 
 
 class ParameterCode(IntEnum):
-    """Codes of parameters."""
-
-    CLASS = 33
-    WAIT = 35
-    CALLED = 41
-    FIGURES = 43
-    NOTE = 47
-    PAUSE = 49
-    REPORT = 51
-    CAUSE = 61
+    """Parameter codes."""
+
+    CALL_CLASS = 33
+    WAIT_MS = 35
+    CALLED_NUMBER = 41
+    ROUTING = 43  # key-value pairs: dest, width, via, transit, again
+    REFUSAL_REASON = 47
+    PAUSE_MS = 49
+    LOAD_REPORT = 51  # key-value pairs
+    CAUSE = 61  # one byte
     DESCRIPTION = 63
 
 
 class ReleaseCause(IntEnum):
-    """Release causes."""
+    """Release causes, with the values of ITU-T Q.850."""
 
-    NORMAL = 16
-    BUSY = 17
+    NORMAL_CLEARING = 16
+    USER_BUSY = 17
     NO_CIRCUIT = 34
-    TEMPORARY = 41
+    TEMPORARY_FAILURE = 41
     CONGESTION = 42
-    FAULT = 47
-    MOOT = 102
+    SIGNALLING_FAULT = 47  # the set-up is malformed or cannot be accepted
+    TIMER_EXPIRED = 102  # the set-up was not attempted
 
 
 class ProtocolError(Exception):
-    """Bytes that are no message; the connection can't go on."""
+    """The peer violated the protocol; the connection must be closed."""
 
 
 @dataclass(slots=True)
 class Message:
-    """One message; parameters by code."""
+    """One message: its type, the id of its call (0 where it concerns none) and raw parameters by code."""
 
-    kind: int
-    call: int
+    message_type: int
+    call_id: int
     parameters: dict[int, bytes] = field(default_factory=dict)
 
     def text(self, code: ParameterCode) -> str:
-        """A parameter as text, empty where absent."""
+        """Returns a parameter as text, empty if absent; raises ProtocolError if it is not UTF-8."""
         try:
             return self.parameters.get(code, b"").decode()
-        except UnicodeDecodeError as fault:
-            raise ProtocolError(f"parameter {code} is not text") from fault
+        except UnicodeDecodeError as error:
+            raise ProtocolError(f"parameter {code} is not UTF-8 text: {error}") from error
 
-    def whole(self, code: ParameterCode, default: int) -> int:
-        """A parameter as a whole number."""
+    def integer(self, code: ParameterCode, default: int) -> int:
+        """Returns a parameter as an integer, `default` if absent or empty; raises as `parse_integer` does."""
         text = self.text(code)
-        return whole(text, f"parameter {code}") if text else default
+        return parse_integer(text, f"parameter {code}") if text else default
 
     @property
     def cause(self) -> int:
+        """The release cause; -1 if absent or not exactly one byte."""
         value = self.parameters.get(ParameterCode.CAUSE, b"")
         return value[0] if len(value) == 1 else -1
 
-    def fields(self, code: ParameterCode) -> dict[str, str]:
-        """A parameter of the form a:1;b:2."""
-        pairs = (part.partition(":") for part in self.text(code).split(";") if part)
-        return {name: value for name, _, value in pairs}
+    def key_values(self, code: ParameterCode) -> dict[str, str]:
+        """Returns a parameter like "a:1;b:2" as a dict; a part without a colon has an empty value."""
+        parts = (part.partition(":") for part in self.text(code).split(";") if part)
+        return {name: value for name, _, value in parts}
+
 
+def parse_integer(text: str, name: str) -> int:
+    """Parses a decimal integer of at most MAX_INTEGER_DIGITS digits; raises ProtocolError otherwise.
 
-def whole(text: str, name: str) -> int:
-    """A whole number of a size that may occur. Guards against figures that no clock or float takes."""
+    `name` names the value in the error. The limit guards against values that a clock or a float cannot hold.
+    """
     digits = text.removeprefix("-")
-    if not (digits.isascii() and digits.isdigit() and len(digits) <= MOST_DIGITS):
-        raise ProtocolError(f"{name} is no number")
+    if not (digits.isascii() and digits.isdigit() and len(digits) <= MAX_INTEGER_DIGITS):
+        raise ProtocolError(
+            f"{name} must be an integer of at most {MAX_INTEGER_DIGITS} digits, got {text!r:.40}"
+        )
     return int(text)
 
 
 def encode(message: Message) -> bytes:
-    """The bytes of a message."""
-    body = b"".join(PARAMETER.pack(code, len(value)) + value for code, value in message.parameters.items())
-    whole = HEAD.pack(AFTER_LENGTH + len(body), message.kind, message.call) + body
-    if len(whole) > MOST:
-        raise ValueError(f"a message of {len(whole)} bytes")
-    return whole
+    """Encodes a message; raises ValueError if it exceeds MAX_MESSAGE_BYTES."""
+    body = b"".join(
+        PARAMETER_HEADER.pack(code, len(value)) + value for code, value in message.parameters.items()
+    )
+    data = (
+        MESSAGE_HEADER.pack(HEADER_BYTES_AFTER_LENGTH + len(body), message.message_type, message.call_id)
+        + body
+    )
+    if len(data) > MAX_MESSAGE_BYTES:
+        raise ValueError(f"message has {len(data)} bytes, the limit is {MAX_MESSAGE_BYTES}")
+    return data
 
 
-def release(call: int, cause: int) -> bytes:
-    """A release, refusal or give-up."""
-    return encode(Message(MessageType.RELEASE, call, {ParameterCode.CAUSE: bytes([cause])}))
+def encode_release(call_id: int, cause: int) -> bytes:
+    """Encodes a RELEASE. The same message refuses a set-up, withdraws one and ends a standing call."""
+    return encode(Message(MessageType.RELEASE, call_id, {ParameterCode.CAUSE: bytes([cause])}))
 
 
 def decode(body: bytes) -> Message:
-    """A message from what follows its length."""
-    kind, call = struct.unpack_from(">BQ", body)
-    message = Message(kind, call)
-    place = AFTER_LENGTH
-    while place < len(body):
-        if place + PARAMETER.size > len(body):
-            raise ProtocolError("half a parameter")
-        code, length = PARAMETER.unpack_from(body, place)
-        place += PARAMETER.size
-        if place + length > len(body):
-            raise ProtocolError(f"parameter {code} is longer than its message")
-        message.parameters[code] = bytes(body[place : place + length])
-        place += length
+    """Decodes a message from the bytes after its length field, at least HEADER_BYTES_AFTER_LENGTH of them.
+
+    Raises ProtocolError if a parameter is truncated.
+    """
+    message_type, call_id = struct.unpack_from(">BQ", body)
+    message = Message(message_type, call_id)
+    offset = HEADER_BYTES_AFTER_LENGTH
+    while offset < len(body):
+        if offset + PARAMETER_HEADER.size > len(body):
+            raise ProtocolError(
+                f"parameter header truncated: {len(body) - offset} of {PARAMETER_HEADER.size} bytes present"
+            )
+        code, length = PARAMETER_HEADER.unpack_from(body, offset)
+        offset += PARAMETER_HEADER.size
+        if offset + length > len(body):
+            raise ProtocolError(f"parameter {code} truncated: {len(body) - offset} of {length} bytes present")
+        message.parameters[code] = bytes(body[offset : offset + length])
+        offset += length
     return message
 
 
 class Decoder:
-    """Gathers bytes as they come and yields whole messages, of the kinds that this side may be sent."""
+    """Splits a byte stream into messages. `accepted_types` are those that the peer may send."""
 
-    def __init__(self, kinds: frozenset[MessageType] = frozenset(MessageType)) -> None:
-        self.rest = bytearray()
-        self.kinds = kinds
+    def __init__(self, accepted_types: frozenset[MessageType] = frozenset(MessageType)) -> None:
+        self.buffer = bytearray()
+        self.accepted_types = accepted_types
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """What can't become a message is told as soon as its head is there."""
-        self.rest += data
-        while len(self.rest) >= 2:
-            length = int.from_bytes(self.rest[:2], "big")
-            if not AFTER_LENGTH <= length <= MOST - 2:
-                raise ProtocolError(f"a length of {length}")
-            if len(self.rest) > 2 and self.rest[2] not in self.kinds:
-                raise ProtocolError(f"a message of type {self.rest[2]}")
-            if len(self.rest) < 2 + length:
+        """Adds received bytes and yields every message that is complete by then.
+
+        Raises ProtocolError on an invalid length or type as soon as those bytes are there, without waiting
+        for the rest. Guards against noise that announces a long message, which would swallow what follows.
+        """
+        self.buffer += data
+        while len(self.buffer) >= 2:
+            length = int.from_bytes(self.buffer[:2], "big")
+            if not HEADER_BYTES_AFTER_LENGTH <= length <= MAX_MESSAGE_BYTES - 2:
+                raise ProtocolError(
+                    f"message length {length} not in {HEADER_BYTES_AFTER_LENGTH} to {MAX_MESSAGE_BYTES - 2}"
+                )
+            if len(self.buffer) > 2 and self.buffer[2] not in self.accepted_types:
+                raise ProtocolError(f"message type {self.buffer[2]} is not one that this peer may send")
+            if len(self.buffer) < 2 + length:
                 return
-            body = bytes(self.rest[2 : 2 + length])
-            del self.rest[: 2 + length]
+            body = bytes(self.buffer[2 : 2 + length])
+            del self.buffer[: 2 + length]
             yield decode(body)
--- a/mintvalve/net/exchange_links.py
+++ b/mintvalve/net/exchange_links.py
@@ -21,7 +21,7 @@
 from mintvalve.core.call_manager import CallManager
 from mintvalve.interface import ClearingCause, Outcome, LoadReport
 from mintvalve.net.codec import (
-    FROM_EXCHANGES,
+    EXCHANGE_MESSAGE_TYPES,
     ProtocolError,
     ReleaseCause,
     ParameterCode,
@@ -29,7 +29,7 @@
     MessageType,
     Message,
     encode,
-    release,
+    encode_release,
 )
 from mintvalve.net.connection import Connection
 from mintvalve.net.release_scheduler import ReleaseScheduler
@@ -50,11 +50,16 @@
 RELEASE_MAX_AGE_MS = 10_000.0
 OUTCOME_BY_CAUSE: dict[int, Outcome] = {
     ReleaseCause.NO_CIRCUIT: Outcome.NOT_SET_UP,
-    ReleaseCause.BUSY: Outcome.LINE_BUSY,
-    ReleaseCause.FAULT: Outcome.LINE_BUSY,
-    ReleaseCause.MOOT: Outcome.NOT_SENT,
+    ReleaseCause.USER_BUSY: Outcome.LINE_BUSY,
+    ReleaseCause.SIGNALLING_FAULT: Outcome.LINE_BUSY,
+    ReleaseCause.TIMER_EXPIRED: Outcome.NOT_SENT,
+}
+KNOWN_CAUSES = {
+    *OUTCOME_BY_CAUSE,
+    ReleaseCause.NORMAL_CLEARING,
+    ReleaseCause.TEMPORARY_FAILURE,
+    ReleaseCause.CONGESTION,
 }
-KNOWN_CAUSES = {*OUTCOME_BY_CAUSE, ReleaseCause.NORMAL, ReleaseCause.TEMPORARY, ReleaseCause.CONGESTION}
 CLEARING_CAUSE_BY_NOTE = {
     "group_full": ClearingCause.NO_CIRCUIT,
     "tandem_refused": ClearingCause.TANDEM_REFUSED,
@@ -74,7 +79,7 @@
 
     connection: Connection
     host: str  # the exchange's name
-    decoder: Decoder = field(default_factory=lambda: Decoder(FROM_EXCHANGES))
+    decoder: Decoder = field(default_factory=lambda: Decoder(EXCHANGE_MESSAGE_TYPES))
     unanswered_since: float | None = None  # the first message sent after the last data received
     last_data_at: float = -math.inf
     read_count: int = 0  # reads that returned data
@@ -311,9 +316,9 @@
             MessageType.SET_UP,
             request.identity,
             {
-                ParameterCode.CLASS: request.call_class.encode(),
-                ParameterCode.WAIT: str(max(1, int(remaining_ms))).encode(),
-                ParameterCode.CALLED: request.called.encode(),
+                ParameterCode.CALL_CLASS: request.call_class.encode(),
+                ParameterCode.WAIT_MS: str(max(1, int(remaining_ms))).encode(),
+                ParameterCode.CALLED_NUMBER: request.called.encode(),
             },
         )
         if request.description is not None:
@@ -352,7 +357,7 @@
 
     def enqueue_release(self, identity: int, exchange_connection: ExchangeConnection | None) -> None:
         """Release a call at the exchange; repeated until delivered, first on the given connection."""
-        self.releases.enqueue_release(identity, ReleaseCause.NORMAL, exchange_connection, self.name)
+        self.releases.enqueue_release(identity, ReleaseCause.NORMAL_CLEARING, exchange_connection, self.name)
 
     def send_release_once(self, call: int) -> bool:
         """Release a call on the first connection that accepts the message, without repeating it.
@@ -361,13 +366,13 @@
         clients release many calls that do not exist. False where no connection accepted the message.
         """
         return any(
-            exchange_connection.send(release(call, ReleaseCause.NORMAL), self.loop.now())
+            exchange_connection.send(encode_release(call, ReleaseCause.NORMAL_CLEARING), self.loop.now())
             for exchange_connection in self.connections.values()
         )
 
     def write_release(self, exchange_connection: ExchangeConnection, call: int, cause: int) -> bool:
         """Write a release for the release scheduler; False where the connection is closed or full."""
-        return exchange_connection.send(release(call, cause), self.loop.now())
+        return exchange_connection.send(encode_release(call, cause), self.loop.now())
 
     # Messages from the exchange.
 
@@ -387,7 +392,7 @@
                 extra={"exchange": self.name, "fault": str(error)},
             )
             connection.close_now("malformed message")
-        connection.on_messages_decoded(message_count, bool(exchange_connection.decoder.rest))
+        connection.on_messages_decoded(message_count, bool(exchange_connection.decoder.buffer))
         if (first_byte_at := connection.partial_since) is not None and first_byte_at == now:
             self.loop.call_later(
                 PARTIAL_MESSAGE_TIMEOUT_MS, lambda: self.on_partial_message_timeout(connection, first_byte_at)
@@ -409,15 +414,17 @@
         """
         call_manager = self.exchange_links.call_manager
         outstanding, is_stale = self.attempts.meant(
-            message.call, exchange_connection, exchange_connection.read_count
+            message.call_id, exchange_connection, exchange_connection.read_count
         )
-        if is_stale and message.kind == MessageType.RELEASE:
+        if is_stale and message.message_type == MessageType.RELEASE:
             return
-        match message.kind:
+        match message.message_type:
             case MessageType.ANSWER if ParameterCode.DESCRIPTION not in message.parameters:
-                raise ProtocolError(f"answer to call {message.call:016x} has no description")
+                raise ProtocolError(f"answer to call {message.call_id:016x} has no description")
             case MessageType.RELEASE if message.cause not in KNOWN_CAUSES:
-                raise ProtocolError(f"release of call {message.call:016x} has unknown cause {message.cause}")
+                raise ProtocolError(
+                    f"release of call {message.call_id:016x} has unknown cause {message.cause}"
+                )
             case MessageType.ANSWER if outstanding is not None:
                 self.reachability.answered(outstanding.attempt.sent_at, self.loop.now())
                 call_manager.on_answer(outstanding.attempt, message.parameters[ParameterCode.DESCRIPTION])
@@ -428,12 +435,12 @@
             case MessageType.GROUP_STATE:
                 self.group_state_received = True
                 call_manager.on_group_state(self.name, self.load_report(message))
-            case MessageType.RELEASE_HEARD:
+            case MessageType.RELEASE_COMPLETE:
                 exchange_connection.acknowledges = True
-                self.releases.on_acknowledged(message.call)
+                self.releases.on_acknowledged(message.call_id)
             case MessageType.TEST:
                 exchange_connection.send(
-                    encode(Message(MessageType.TESTED, message.call, {ParameterCode.CAUSE: b"\1"})),
+                    encode(Message(MessageType.TEST_RESULT, message.call_id, {ParameterCode.CAUSE: b"\1"})),
                     self.loop.now(),
                 )
             case _:
@@ -442,10 +449,10 @@
     def load_report(self, message: Message) -> LoadReport:
         """The load report in a message, empty where it has none; ProtocolError where it is malformed."""
         try:
-            return parse_load_report(message.text(ParameterCode.REPORT) or "-", ";")
+            return parse_load_report(message.text(ParameterCode.LOAD_REPORT) or "-", ";")
         except ValueError as error:
             raise ProtocolError(
-                f"load report of call {message.call:016x} can't be parsed: {error}"
+                f"load report of call {message.call_id:016x} can't be parsed: {error}"
             ) from error
 
     def on_release(
@@ -459,23 +466,27 @@
         The release of a call not known here is acknowledged and reported to the callers.
         """
         if outstanding is None:
-            exchange_connection.connection.send(encode(Message(MessageType.RELEASE_HEARD, message.call)))
-            self.exchange_links.report_unknown_release(message.call, message.cause)
+            exchange_connection.connection.send(
+                encode(Message(MessageType.RELEASE_COMPLETE, message.call_id))
+            )
+            self.exchange_links.report_unknown_release(message.call_id, message.cause)
             return
-        report, note = self.load_report(message), message.text(ParameterCode.NOTE)
-        back_off_ms = float(max(message.whole(ParameterCode.PAUSE, 0), 0))
-        self.attempts.pop(message.call)  # the message has been parsed; nothing below raises ProtocolError
-        self.exchange_links.ended_calls.add(message.call)
+        report, note = self.load_report(message), message.text(ParameterCode.REFUSAL_REASON)
+        back_off_ms = float(max(message.integer(ParameterCode.PAUSE_MS, 0), 0))
+        self.attempts.pop(message.call_id)  # the message has been parsed; nothing below raises ProtocolError
+        self.exchange_links.ended_calls.add(message.call_id)
         if outstanding.standing:
             self.reachability.word(self.loop.now())
-            exchange_connection.connection.send(encode(Message(MessageType.RELEASE_HEARD, message.call)))
-            outcome = Outcome.ENDED if message.cause == ReleaseCause.NORMAL else Outcome.RESET
+            exchange_connection.connection.send(
+                encode(Message(MessageType.RELEASE_COMPLETE, message.call_id))
+            )
+            outcome = Outcome.ENDED if message.cause == ReleaseCause.NORMAL_CLEARING else Outcome.RESET
         else:
             outcome = OUTCOME_BY_CAUSE.get(message.cause, Outcome.RESET)
             if note in NOTES_PROVING_REACHABILITY:
                 self.reachability.answered(outstanding.attempt.sent_at, self.loop.now())
             if outcome is Outcome.RESET:
-                self.attempts.taint(message.call, exchange_connection)  # a late answer may still follow
+                self.attempts.taint(message.call_id, exchange_connection)  # a late answer may still follow
         self.exchange_links.call_manager.on_attempt_ended(
             outstanding.attempt,
             outcome,
--- a/mintvalve/net/name_server_client.py
+++ b/mintvalve/net/name_server_client.py
@@ -1,4 +1,7 @@
-"""The list of exchanges: the events of the start from the configuration, later ones by DNS over UDP."""
+"""The list of exchanges: first from the events in the configuration, then by polling DNS over UDP.
+
+Both number the states of the list alike: `seq` of an event and the SOA serial of a response.
+"""
 
 from __future__ import annotations
 
@@ -21,32 +24,39 @@
 
 log = logging.getLogger("mintvalve.names")
 
-SERVICE = "_api._tcp.svc.local."
-ASK_MS = 400.0  # ms between queries; what happened counts as told after 1.5 s at the latest
-LOST_MS = 150.0  # ms; a query that brought no good answer by then is followed by the next one
-KEPT = 8  # queries whose answer may still come
-MOST = 8192  # bytes of an answer
-STATES = {"SERVING": ExchangeState.READY, "DRAINING": ExchangeState.DRAINING, "DELETED": ExchangeState.GONE}
+SERVICE_NAME = "_api._tcp.svc.local."
+QUERY_INTERVAL_MS = 400.0  # a change counts as known 1.5 s after it at the latest
+QUERY_TIMEOUT_MS = 150.0  # without a usable response by then, the next query is sent
+MAX_QUERY_IDS = 8  # latest queries to which a response is accepted
+MAX_RESPONSE_BYTES = 8192
+STATES_BY_PHASE = {
+    "SERVING": ExchangeState.READY,
+    "DRAINING": ExchangeState.DRAINING,
+    "DELETED": ExchangeState.GONE,
+}
 
 
 @dataclass(frozen=True, slots=True)
 class ListedExchange:
-    """An exchange and where it listens."""
+    """An exchange and the host and port on which it listens."""
 
     exchange: Exchange
     address: tuple[str, int]
 
 
-def host_port(text: str) -> tuple[str, int]:
-    """An address of the form host:port."""
+def parse_host_port(text: str) -> tuple[str, int]:
+    """Splits "host:port"; raises ValueError on any other form."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit():
         raise ValueError(f"not an address: {text!r}")
     return host, int(port)
 
 
-def known_events(known: dict[str, Any]) -> list[tuple[int, ListUpdateKind, list[ListedExchange]]]:
-    """The events of the configuration's `known`, oldest first."""
+def parse_known_events(known: dict[str, Any]) -> list[tuple[int, ListUpdateKind, list[ListedExchange]]]:
+    """Parses `known` of the configuration: the number, kind and exchanges of each event, by number.
+
+    Raises KeyError, TypeError, ValueError or AttributeError if it is malformed.
+    """
     events: list[tuple[int, ListUpdateKind, list[ListedExchange]]] = []
     for event in known.get("results", []):
         fleet = event["fleet"]
@@ -55,11 +65,11 @@
                 Exchange(
                     member["id"],
                     int(member.get("cell", -1)),
-                    STATES[member.get("phase", "SERVING")],
+                    STATES_BY_PHASE[member.get("phase", "SERVING")],
                     member.get("locality", ""),
                     float(member.get("up_since_ms") or 0),
                 ),
-                host_port(member["host_port"]),
+                parse_host_port(member["host_port"]),
             )
             for member in fleet.get("members", [])
         ]
@@ -68,142 +78,162 @@
     return sorted(events, key=lambda event: event[0])
 
 
-def merged(events: list[tuple[int, ListUpdateKind, list[ListedExchange]]]) -> dict[str, ListedExchange]:
-    """The list that results from events."""
-    held: dict[str, ListedExchange] = {}
+def merge_events(events: list[tuple[int, ListUpdateKind, list[ListedExchange]]]) -> dict[str, ListedExchange]:
+    """Applies events in their order; returns the resulting list by exchange, without those that are gone."""
+    exchanges: dict[str, ListedExchange] = {}
     for _, kind, entries in events:
-        held = {} if kind is ListUpdateKind.FULL else held
-        held |= {entry.exchange.address: entry for entry in entries}
-    return {name: entry for name, entry in held.items() if entry.exchange.state is not ExchangeState.GONE}
+        exchanges = {} if kind is ListUpdateKind.FULL else exchanges
+        exchanges |= {entry.exchange.address: entry for entry in entries}
+    return {
+        name: entry for name, entry in exchanges.items() if entry.exchange.state is not ExchangeState.GONE
+    }
+
 
+def parse_response(response: dns.message.Message) -> tuple[int, dict[str, ListedExchange]]:
+    """Returns the serial and the full list of exchanges of a response.
 
-def from_answer(answer: dns.message.Message) -> tuple[int, dict[str, ListedExchange]]:
-    """The serial and the whole list of an answer; ValueError where it can't be used."""
+    Each exchange has an SRV record, with a priority other than 0 if it is draining. The first two labels of
+    the target are the exchange and its zone; the target has an A record, and may have a TXT record with
+    `cell` and `started` (Unix ms). Raises ValueError or IndexError if the response does not have this form.
+    """
     serial: int | None = None
-    for rrset in answer.authority:
-        for item in rrset:
-            if item.rdtype == dns.rdatatype.SOA:
-                serial = item.serial
+    for rrset in response.authority:
+        for record in rrset:
+            if record.rdtype == dns.rdatatype.SOA:
+                serial = record.serial
     if serial is None:
-        raise ValueError("no serial")
-    hosts: dict[str, str] = {}
-    texts: dict[str, dict[str, str]] = {}
-    services: list[Any] = []
-    rrsets: list[dns.rrset.RRset] = [*answer.answer, *answer.additional]
+        raise ValueError("no SOA record in the authority section")
+    addresses: dict[str, str] = {}
+    txt_values: dict[str, dict[str, str]] = {}
+    srv_records: list[Any] = []
+    rrsets: list[dns.rrset.RRset] = [*response.answer, *response.additional]
     for rrset in rrsets:
         owner = rrset.name.to_text().lower()
-        for item in rrset:
-            if item.rdtype == dns.rdatatype.SRV:
-                services.append(item)
-            elif item.rdtype == dns.rdatatype.A:
-                hosts[owner] = item.address
-            elif item.rdtype == dns.rdatatype.TXT:
-                pairs = (part.decode(errors="replace").partition("=") for part in item.strings)
-                texts[owner] = {name: value for name, _, value in pairs}
-    held: dict[str, ListedExchange] = {}
-    for item in services:
-        target = item.target.to_text()
-        labels, facts = target.split("."), texts.get(target.lower(), {})
-        if target.lower() not in hosts:
-            raise ValueError(f"no address for {target}")
-        state = ExchangeState.READY if item.priority == 0 else ExchangeState.DRAINING
+        for record in rrset:
+            if record.rdtype == dns.rdatatype.SRV:
+                srv_records.append(record)
+            elif record.rdtype == dns.rdatatype.A:
+                addresses[owner] = record.address
+            elif record.rdtype == dns.rdatatype.TXT:
+                pairs = (part.decode(errors="replace").partition("=") for part in record.strings)
+                txt_values[owner] = {name: value for name, _, value in pairs}
+    exchanges: dict[str, ListedExchange] = {}
+    for record in srv_records:
+        target = record.target.to_text()
+        labels, exchange_values = target.split("."), txt_values.get(target.lower(), {})
+        if target.lower() not in addresses:
+            raise ValueError(f"no A record for SRV target {target}")
+        state = ExchangeState.READY if record.priority == 0 else ExchangeState.DRAINING
         exchange = Exchange(
-            labels[0], int(facts.get("cell", -1)), state, labels[1], float(facts.get("started", 0) or 0)
+            labels[0],
+            int(exchange_values.get("cell", -1)),
+            state,
+            labels[1],
+            float(exchange_values.get("started", 0) or 0),
         )
-        held[labels[0]] = ListedExchange(exchange, (hosts[target.lower()], item.port))
-    return serial, held
+        exchanges[labels[0]] = ListedExchange(exchange, (addresses[target.lower()], record.port))
+    return serial, exchanges
 
 
 class NameServerClient:
-    """Asks the name server now and then, and tells of every change."""
+    """Polls the name server and passes every newer list of exchanges to `on_change`.
+
+    `serial` is the number of the list that is already known.
+    """
 
     def __init__(
-        self, loop: Loop, server: tuple[str, int], seq: int, tell: Callable[[dict[str, ListedExchange]], None]
+        self,
+        loop: Loop,
+        server: tuple[str, int],
+        serial: int,
+        on_change: Callable[[dict[str, ListedExchange]], None],
     ) -> None:
-        self.loop, self.server, self.seq, self.tell = loop, server, seq, tell
-        self.sock = self.open()
-        self.asked: list[int] = []
-        self.answered = False  # the latest query was
-        self.last = b""
-        self.ask()
-
-    def open(self) -> socket.socket:
+        self.loop, self.server, self.serial, self.on_change = loop, server, serial, on_change
+        self.sock = self.open_socket()
+        self.query_ids: list[int] = []
+        self.query_answered = False  # a usable response has come since the latest query
+        self.last_response = b""  # the last usable one, without its query id
+        self.poll()
+
+    def open_socket(self) -> socket.socket:
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.setblocking(False)
-        self.loop.watch(sock, READ, self.ready)
+        self.loop.watch(sock, READ, self.on_readable)
         return sock
 
-    def move(
+    def reconfigure(
         self, server: tuple[str, int], events: list[tuple[int, ListUpdateKind, list[ListedExchange]]]
     ) -> None:
-        """Another name server from now on, and the list that came with it, should it be a newer one. The
-        numbers of the events go on."""
-        if events and events[-1][0] > self.seq:
-            self.seq = events[-1][0]
-            self.tell(merged(events))
+        """Applies a new configuration: reports its list if that is newer, and queries another server at once.
+
+        Serials are compared across servers: a list older than the known one stays ignored.
+        """
+        if events and events[-1][0] > self.serial:
+            self.serial = events[-1][0]
+            self.on_change(merge_events(events))
         if server != self.server:
-            log.info("another name server", extra={"host": server[0], "port": server[1]})
+            log.info("switching to another name server", extra={"host": server[0], "port": server[1]})
             self.close()
-            self.server, self.sock, self.asked, self.last = server, self.open(), [], b""
-            self.query()
+            self.server, self.sock, self.query_ids, self.last_response = server, self.open_socket(), [], b""
+            self.send_query()
 
-    def ask(self) -> None:
-        """Now and then; sooner where an answer got lost, failed or was of no use."""
+    def poll(self) -> None:
+        """Sends a query; the next follows after QUERY_INTERVAL_MS, or QUERY_TIMEOUT_MS if unanswered."""
         if self.sock.fileno() >= 0:
-            self.query()
-            self.loop.call_later(LOST_MS, self.ask_again)
+            self.send_query()
+            self.loop.call_later(QUERY_TIMEOUT_MS, self.on_query_timeout)
 
-    def ask_again(self) -> None:
-        if self.answered:
-            self.loop.call_later(ASK_MS - LOST_MS, self.ask)
+    def on_query_timeout(self) -> None:
+        if self.query_answered:
+            self.loop.call_later(QUERY_INTERVAL_MS - QUERY_TIMEOUT_MS, self.poll)
         else:
-            self.ask()
+            self.poll()
 
-    def query(self) -> None:
-        query = dns.message.make_query(SERVICE, dns.rdatatype.SRV)
+    def send_query(self) -> None:
+        query = dns.message.make_query(SERVICE_NAME, dns.rdatatype.SRV)
         query.flags &= ~dns.flags.RD
-        self.asked, self.answered = [*self.asked[1 - KEPT :], query.id], False
+        self.query_ids, self.query_answered = [*self.query_ids[1 - MAX_QUERY_IDS :], query.id], False
         try:
             self.sock.sendto(query.to_wire(), self.server)
-        except OSError as fault:
-            log.debug("the name server can't be asked", extra={"fault": str(fault)})
+        except OSError as error:
+            log.debug("cannot send a query to the name server", extra={"fault": str(error)})
 
-    def ready(self, _: int) -> None:
+    def on_readable(self, _: int) -> None:
         while True:
             try:
-                data, sender = self.sock.recvfrom(MOST)
+                data, sender = self.sock.recvfrom(MAX_RESPONSE_BYTES)
             except OSError:
-                return  # nothing more, or the server's machine says that nobody listens
+                return  # nothing left to read, or an ICMP "port unreachable" from the server's host
             if sender == self.server:
-                self.take(data)
+                self.on_response(data)
 
-    def take(self, data: bytes) -> None:
-        """One answer; anything that is no whole one is passed over, the next query brings another."""
-        if int.from_bytes(data[:2], "big") not in self.asked:
+    def on_response(self, data: bytes) -> None:
+        """Handles a datagram from the server; ignores what is not a complete response to a recent query."""
+        if int.from_bytes(data[:2], "big") not in self.query_ids:
             return
-        if data[2:] == self.last:
-            self.answered = True
+        if data[2:] == self.last_response:
+            self.query_answered = True
             return
         try:
-            answer = dns.message.from_wire(data, ignore_trailing=True)
-            if answer.rcode() != dns.rcode.NOERROR:
-                raise ValueError(f"it failed with {dns.rcode.to_text(answer.rcode())}")
-            if answer.flags & dns.flags.TC:
-                raise ValueError("cut short")
-            serial, held = from_answer(answer)
-            if not held:
-                raise ValueError("a list without exchanges")
-        except (dns.exception.DNSException, ValueError, IndexError) as fault:
-            log.info("an answer of the name server is of no use", extra={"fault": str(fault)})
+            response = dns.message.from_wire(data, ignore_trailing=True)
+            if response.rcode() != dns.rcode.NOERROR:
+                raise ValueError(f"response code {dns.rcode.to_text(response.rcode())}, expected NOERROR")
+            if response.flags & dns.flags.TC:
+                raise ValueError("response truncated (TC flag set)")
+            serial, exchanges = parse_response(response)
+            if not exchanges:
+                raise ValueError(f"no SRV records in list {serial}")
+        except (dns.exception.DNSException, ValueError, IndexError) as error:
+            log.info("ignoring an unusable name server response", extra={"fault": str(error)})
             return
-        if serial < self.seq:
-            return  # an older list
-        self.last, self.answered = data[2:], True
-        if serial > self.seq:
-            self.seq = serial
-            self.tell(held)
+        if serial < self.serial:
+            return  # an older list leaves the query unanswered
+        self.last_response, self.query_answered = data[2:], True
+        if serial > self.serial:
+            self.serial = serial
+            self.on_change(exchanges)
 
     def close(self) -> None:
         if self.sock.fileno() >= 0:
-            self.loop.watch(self.sock, 0, self.ready)
+            self.loop.watch(self.sock, 0, self.on_readable)
             self.sock.close()
--- a/mintvalve/net/websocket_front.py
+++ b/mintvalve/net/websocket_front.py
@@ -1,8 +1,8 @@
-"""Call control over WebSocket: JSON text messages, the same switchboard, the same rules.
+"""The front for clients that control calls over WebSocket, with JSON text messages.
 
-The words are the core's: a client sends set_up, release and follow; it hears progress, answer, refused,
-failed, release and error. A call that stands is bound to no connection, as on the binary front: a client that
-comes back follows it by its id, and hears of an end that it missed.
+A client sends set_up, release and follow; it receives progress, answer, refused, failed, release and error.
+As on the binary front, a standing call is bound to no connection: a client that reconnects follows the call
+by its id, and receives the release if the call has ended meanwhile.
 """
 
 from __future__ import annotations
@@ -31,19 +31,27 @@
 
 log = logging.getLogger("mintvalve.front.websocket")
 
-IDENTITY = re.compile(r"[0-9a-f]{16}")
-LONGEST_WAIT_MS = 600_000  # ms
-MOST_DESCRIPTION = 12_288  # bytes; it must fit an exchange's message with the rest
-MOST_NUMBER = 64  # characters
-KEPT_MS = 60_000.0  # ms; the end of a call that no client heard of is kept for one that follows it
-KEPT_MOST = 4096  # such ends
-GOING_AWAY, POLICY, TOO_BIG, AGAIN_LATER = 1001, 1008, 1009, 1013
-ENDLESS = 8  # times the longest message; whoever sends more of one is closed
+CALL_ID_PATTERN = re.compile(r"[0-9a-f]{16}")
+MAX_WAIT_MS = 600_000
+MAX_DESCRIPTION_BYTES = 12_288  # leaves room for the other parameters in the message to the exchange
+MAX_NUMBER_BYTES = 64  # in UTF-8
+RELEASE_RETENTION_MS = 60_000.0  # of a release that is undelivered, for a client that reconnects
+MAX_PENDING_RELEASES = 4096
+CLOSE_GOING_AWAY = 1001
+CLOSE_POLICY_VIOLATION = 1008
+CLOSE_MESSAGE_TOO_BIG = 1009
+CLOSE_TRY_AGAIN_LATER = 1013
+MESSAGE_ABORT_FACTOR = 8  # times `message_bytes`; a longer message closes its connection
 
 
 @dataclass(frozen=True, slots=True)
-class Options:
-    """What deploy/websocket.toml says."""
+class WebSocketOptions:
+    """The settings of websocket.toml; the fields are its keys.
+
+    `connections` limits open connections, `message_bytes` the characters of a received message and
+    `outbound_bytes` the bytes buffered for one client, here and again in the kernel; `ping_ms` is the time
+    between pings.
+    """
 
     listen: str
     origins: tuple[str, ...]
@@ -54,132 +62,140 @@
     ping_ms: int = 20_000
 
     @classmethod
-    def faults(cls, table: dict[str, Any]) -> list[tuple[str, str]]:
-        """Every fault of a file's table, with its key."""
-        known = {each.name for each in fields(cls)}
-        found = [(name, "no such key") for name in sorted(set(table) - known)]
-        found += [(name, "is missing") for name in ("listen", "origins") if name not in table]
+    def find_faults(cls, table: dict[str, Any]) -> list[tuple[str, str]]:
+        """Checks a parsed file; returns the key and text of every fault."""
+        known_keys = {each.name for each in fields(cls)}
+        faults = [(name, "no such key") for name in sorted(set(table) - known_keys)]
+        faults += [(name, "is missing") for name in ("listen", "origins") if name not in table]
         for name in ("connections", "message_bytes", "outbound_bytes", "ping_ms"):
             if type(table.get(name, 1)) is not int or table.get(name, 1) < 1:
-                found.append((name, "must be a whole number from 1 on"))
+                faults.append((name, "must be a whole number from 1 on"))
         if not isinstance(table.get("listen", ""), str):
-            found.append(("listen", "must be a text"))
+            faults.append(("listen", "must be a text"))
         origins = table.get("origins", [])
         if not isinstance(origins, list) or not all(isinstance(each, str) for each in origins):
-            found.append(("origins", "must be a list of texts"))
+            faults.append(("origins", "must be a list of texts"))
         if not str(table.get("path", "/")).startswith("/"):
-            found.append(("path", "must begin with /"))
-        return found
+            faults.append(("path", "must begin with /"))
+        return faults
 
     @classmethod
-    def parse(cls, text: str) -> Options:
-        """ValueError, naming every fault, where the text is not to be used."""
+    def parse(cls, text: str) -> WebSocketOptions:
+        """Parses a file; raises ValueError with every fault if it is invalid."""
         table = tomllib.loads(text)
-        if found := cls.faults(table):
-            raise ValueError("; ".join(f"{name} {what}" for name, what in found))
+        if faults := cls.find_faults(table):
+            raise ValueError("; ".join(f"{name} {fault}" for name, fault in faults))
         return cls(**{**table, "origins": tuple(table["origins"])})
 
 
-class Fault(Exception):
-    """A message that can't be served; `name` is the error's name."""
+class MessageRejected(Exception):
+    """A message that is answered with an error; `name` and the text become its `error` and `detail`."""
 
     def __init__(self, name: str, detail: str) -> None:
         super().__init__(detail)
         self.name = name
 
 
-def whole(message: dict[str, Any], name: str, low: int, high: int, default: int | None = None) -> int:
-    """A field that is a whole number within bounds."""
+def integer_field(
+    message: dict[str, Any], name: str, minimum: int, maximum: int, default: int | None = None
+) -> int:
+    """Returns a field that must be an integer within bounds; raises MessageRejected otherwise."""
     value = message.get(name, default)
-    if type(value) is not int or not low <= value <= high:
-        raise Fault("bad_field", f"{name} must be a whole number from {low} to {high}")
+    if type(value) is not int or not minimum <= value <= maximum:
+        raise MessageRejected("bad_field", f"{name} must be a whole number from {minimum} to {maximum}")
     return value
 
 
-def identity_of(message: dict[str, Any]) -> int:
+def parse_call_id(message: dict[str, Any]) -> int:
+    """Returns the `id` field as an integer; raises MessageRejected if it is malformed."""
     value = message.get("id")
-    if not isinstance(value, str) or not IDENTITY.fullmatch(value):
-        raise Fault("bad_field", "id must be 16 lower-case hex digits")
+    if not isinstance(value, str) or not CALL_ID_PATTERN.fullmatch(value):
+        raise MessageRejected("bad_field", "id must be 16 lower-case hex digits")
     return int(value, 16)
 
 
-def request_of(message: dict[str, Any]) -> CallRequest:
-    """A set_up as a request."""
-    kind, called = message.get("class"), message.get("number")
-    if not isinstance(kind, str):
-        raise Fault("bad_field", "class must be a text")
+def parse_set_up(message: dict[str, Any]) -> CallRequest:
+    """Converts a set_up message to a request; raises MessageRejected if a field is invalid."""
+    call_class, called = message.get("class"), message.get("number")
+    if not isinstance(call_class, str):
+        raise MessageRejected("bad_field", "class must be a string")
     if (
         not isinstance(called, str)
-        or not 0 < len(called.encode(errors="replace")) <= MOST_NUMBER
+        or not 0 < len(called.encode(errors="replace")) <= MAX_NUMBER_BYTES
         or not called.isprintable()
     ):
-        raise Fault("bad_field", f"number must be a printable text of 1 to {MOST_NUMBER} bytes")
-    again = message.get("again", False)
-    if not isinstance(again, bool):
-        raise Fault("bad_field", "again must be true or false")
-    text = message.get("description")
+        raise MessageRejected(
+            "bad_field", f"number must be a printable string of 1 to {MAX_NUMBER_BYTES} UTF-8 bytes"
+        )
+    was_cut = message.get("again", False)
+    if not isinstance(was_cut, bool):
+        raise MessageRejected("bad_field", "again must be true or false")
+    encoded_description = message.get("description")
     description: bytes | None = None
-    if text is not None:
+    if encoded_description is not None:
         try:
-            description = base64.b64decode(text, validate=True)
+            description = base64.b64decode(encoded_description, validate=True)
         except (TypeError, ValueError, binascii.Error):
-            raise Fault("bad_field", "description must be base64") from None
-        if len(description) > MOST_DESCRIPTION:
-            raise Fault("bad_field", f"description must have {MOST_DESCRIPTION} bytes at the most")
+            raise MessageRejected("bad_field", "description must be base64") from None
+        if len(description) > MAX_DESCRIPTION_BYTES:
+            raise MessageRejected(
+                "bad_field", f"description has {len(description)} bytes, the limit is {MAX_DESCRIPTION_BYTES}"
+            )
     return CallRequest(
-        identity=identity_of(message),
-        call_class=kind,
+        identity=parse_call_id(message),
+        call_class=call_class,
         called=called,
-        wait_ms=float(whole(message, "wait_ms", 1, LONGEST_WAIT_MS)),
-        destination=whole(message, "destination", 0, 1_000_000),
-        width=whole(message, "width", 1, 1024, 1),
-        tandem=whole(message, "tandem", -1, 1_000_000, -1),
-        was_cut=again,
+        wait_ms=float(integer_field(message, "wait_ms", 1, MAX_WAIT_MS)),
+        destination=integer_field(message, "destination", 0, 1_000_000),
+        width=integer_field(message, "width", 1, 1024, 1),
+        tandem=integer_field(message, "tandem", -1, 1_000_000, -1),
+        was_cut=was_cut,
         description=description,
     )
 
 
 @dataclass(slots=True, eq=False)
 class WebSocketSession:
-    """One client's connection."""
+    """One client's connection. Releases are sent on it as on any `ReleaseConnection`."""
 
     connection: Connection
-    wire: WSConnection = field(default_factory=lambda: WSConnection(ConnectionType.SERVER))
-    accepted: bool = False
-    calls: dict[int, Call] = field(default_factory=dict)  # taken on it and not answered yet
-    parts: list[str] = field(default_factory=list)
-    length: int = 0
-    text: bool = True
-    ponged: bool = True
-    host: str = ""  # a release is nobody's business but his who set the call up, or follows it
+    websocket: WSConnection = field(default_factory=lambda: WSConnection(ConnectionType.SERVER))
+    handshake_accepted: bool = False
+    unanswered_calls: dict[int, Call] = field(default_factory=dict)  # by `Call.number`
+    message_parts: list[str] = field(default_factory=list)  # of the message being received
+    message_length: int = 0  # characters or bytes received of it
+    message_is_text: bool = True  # false once a binary frame of it has come
+    pong_received: bool = True  # since the last ping of `ping_clients`
+    host: str = ""  # empty: only the client that set a call up, or follows it, may receive its release
     is_trusted: bool = False
     acknowledges: bool = True  # by pongs
     last_data_at: float = -math.inf
-    unsure: list[int] = field(default_factory=list)  # calls whose release was said since the last such ping
-    asked: dict[int, list[int]] = field(default_factory=dict)  # by that ping's number: what it is to show
-    asks: int = 0
+    # Ids of calls whose release was sent, before and after the next ping that asks for confirmation.
+    unconfirmed_releases: list[int] = field(default_factory=list)
+    releases_by_ping: dict[int, list[int]] = field(default_factory=dict)  # by ping number
+    last_ping_number: int = 0  # of the pings that ask for confirmation
 
     @property
     def is_open(self) -> bool:
-        return self.accepted and self.connection.is_open
+        return self.handshake_accepted and self.connection.is_open
 
 
 class WebSocketFront:
-    """Callers by WebSocket."""
+    """Listens for clients and handles their sessions."""
 
     def __init__(
-        self, loop: Loop, switchboard: CallManager, options: Options, address: tuple[str, int]
+        self, loop: Loop, call_manager: CallManager, options: WebSocketOptions, address: tuple[str, int]
     ) -> None:
-        self.loop, self.switchboard, self.options = loop, switchboard, options
+        self.loop, self.call_manager, self.options = loop, call_manager, options
         self.sessions: dict[Connection, WebSocketSession] = {}
-        self.sides: dict[int, WebSocketCaller] = {}  # by identity: calls of this front
+        self.callers: dict[int, WebSocketCaller] = {}  # by call id
         self.releases: ReleaseScheduler[WebSocketSession] = ReleaseScheduler(
-            loop, self, KEPT_MS, KEPT_MOST, allow_other_hosts=False
+            loop, self, RELEASE_RETENTION_MS, MAX_PENDING_RELEASES, allow_other_hosts=False
         )
         self.listener = Listener(loop, *address, self, options.connections, options.outbound_bytes)
-        loop.call_later(options.ping_ms, self.ping)
+        loop.call_later(options.ping_ms, self.ping_clients)
 
-    # Connections.
+    # Connection events.
 
     def on_opened(self, connection: Connection) -> None:
         connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, self.options.outbound_bytes)
@@ -187,283 +203,339 @@
 
     def on_closed(self, connection: Connection, reason: str) -> None:
         self.listener.remove_connection(connection)
-        talk = self.sessions.pop(connection)
-        log.debug("client gone", extra={"reason": reason, "calls": len(talk.calls)})
-        self.abandon(talk)
-        self.releases.on_connection_closed(talk)
+        session = self.sessions.pop(connection)
+        log.debug(
+            "client connection closed", extra={"reason": reason, "calls": len(session.unanswered_calls)}
+        )
+        self.withdraw_unanswered_calls(session)
+        self.releases.on_connection_closed(session)
 
     def eviction_cost(self, connection: Connection) -> int:
-        """A client with open set-ups can't be spared; one that follows calls only if no other can."""
-        talk = self.sessions[connection]
-        return -1 if talk.calls else sum(side.session is talk for side in self.sides.values())
+        """Number of standing calls whose client uses the connection; -1 with unanswered calls."""
+        session = self.sessions[connection]
+        return (
+            -1
+            if session.unanswered_calls
+            else sum(caller.session is session for caller in self.callers.values())
+        )
 
     def evict(self, connection: Connection) -> None:
-        self.leave(self.sessions[connection], AGAIN_LATER, "its place is needed")
+        self.close_session(self.sessions[connection], CLOSE_TRY_AGAIN_LATER, "its place is needed")
 
-    def abandon(self, talk: WebSocketSession) -> None:
-        """Nobody waits for these answers any more; calls that stand go on."""
-        for call in list(talk.calls.values()):
-            self.switchboard.on_caller_left(call)
+    def withdraw_unanswered_calls(self, session: WebSocketSession) -> None:
+        """Withdraws calls whose answer nobody waits for any more; standing calls go on."""
+        for call in list(session.unanswered_calls.values()):
+            self.call_manager.on_caller_left(call)
 
-    def ping(self) -> None:
-        """A client that left without a word is found out: a tab on a machine that lost its network."""
+    def ping_clients(self) -> None:
+        """Closes connections without a pong or a handshake since the last ping, and pings the others.
+
+        Detects clients that vanish without closing, such as a page on a machine that lost its network.
+        """
         if self.listener.sock.fileno() >= 0:
-            self.loop.call_later(self.options.ping_ms, self.ping)
-        for talk in list(self.sessions.values()):
-            if not talk.ponged:
-                talk.connection.close_now("no sign of life")
+            self.loop.call_later(self.options.ping_ms, self.ping_clients)
+        for session in list(self.sessions.values()):
+            if not session.pong_received:
+                session.connection.close_now("no pong since the last ping")
                 continue
-            talk.ponged = False
-            if talk.accepted:
-                self.write(talk, ws.Ping())
+            session.pong_received = False
+            if session.handshake_accepted:
+                self.send_event(session, ws.Ping())
 
     def stop_accepting(self) -> None:
-        """Take no new connections."""
+        """Closes the listening socket; open connections stay."""
         self.listener.close()
 
     def close_sessions(self) -> None:
-        """The program ends."""
-        for talk in list(self.sessions.values()):
-            self.leave(talk, GOING_AWAY, "going away")
+        """Closes all connections since the process is about to exit."""
+        for session in list(self.sessions.values()):
+            self.close_session(session, CLOSE_GOING_AWAY, "going away")
 
-    # Writing.
+    # Messages to clients.
 
-    def write(self, talk: WebSocketSession, event: ws.Event) -> None:
-        """One frame; a client that does not read is closed rather than let its buffer grow."""
-        if not talk.connection.is_open:
+    def send_event(self, session: WebSocketSession, event: ws.Event) -> None:
+        """Sends one frame. A client whose buffer is full is disconnected, so that buffers stay bounded."""
+        if not session.connection.is_open:
             return
         try:
-            data = talk.wire.send(event)
+            data = session.websocket.send(event)
         except LocalProtocolError:
             return  # the closing handshake has begun
-        if not talk.connection.send(data):
-            self.leave(talk, POLICY, "slow reader")
+        if not session.connection.send(data):
+            self.close_session(session, CLOSE_POLICY_VIOLATION, "slow reader")
+
+    def close_session(self, session: WebSocketSession, code: int, reason: str) -> None:
+        """Sends buffered data and a close frame with this code, and closes the connection.
 
-    def leave(self, talk: WebSocketSession, code: int, reason: str) -> None:
-        """Close with a code, behind what waits; open calls are given up in the next turn."""
-        if talk.connection.is_open:
-            log.info("client closed", extra={"code": code, "reason": reason})
+        Unanswered calls are withdrawn in the next turn of the loop.
+        """
+        if session.connection.is_open:
+            log.info("closing client connection", extra={"code": code, "reason": reason})
             try:
-                last = talk.wire.send(ws.CloseConnection(code, reason)) if talk.accepted else b""
+                close_frame = (
+                    session.websocket.send(ws.CloseConnection(code, reason))
+                    if session.handshake_accepted
+                    else b""
+                )
             except LocalProtocolError:
-                last = b""
-            talk.connection.close_after_flush(last)
-            self.loop.call_soon(lambda: self.abandon(talk))
+                close_frame = b""
+            session.connection.close_after_flush(close_frame)
+            self.loop.call_soon(lambda: self.withdraw_unanswered_calls(session))
 
     def has_pending_releases(self) -> bool:
-        """Some client has not heard of an end yet, and still can."""
+        """Whether a release that is not acknowledged yet can still be delivered."""
         return self.releases.has_deliverable()
 
-    def write_release(self, way: WebSocketSession, call: int, cause: int) -> bool:
-        """A release, and a ping whose pong shows that it was read: a client answers in order (RFC 6455,
-        5.5.3: a pong to the latest ping will do for those before it)."""
-        if not self.tell(way, "release", call, cause=cause):
+    def write_release(self, session: WebSocketSession, call_id: int, cause: int) -> bool:
+        """Sends a release, and a ping whose pong acknowledges it; False if the connection is closed.
+
+        Clients handle frames in order, so a pong confirms everything sent before its ping. One ping serves
+        all releases of a turn, and a pong answers all earlier pings too (RFC 6455, 5.5.3).
+        """
+        if not self.send_message(session, "release", call_id, cause=cause):
             return False
-        if not way.unsure:
-            self.loop.call_soon(lambda: self.ask(way))
-        way.unsure.append(call)
+        if not session.unconfirmed_releases:
+            self.loop.call_soon(lambda: self.send_confirmation_ping(session))
+        session.unconfirmed_releases.append(call_id)
         return True
 
-    def ask(self, talk: WebSocketSession) -> None:
-        talk.asks += 1
-        talk.asked[talk.asks], talk.unsure = talk.unsure, []
-        self.write(talk, ws.Ping(b"heard %d" % talk.asks))
+    def send_confirmation_ping(self, session: WebSocketSession) -> None:
+        """Sends a numbered ping for the releases written since the last one."""
+        session.last_ping_number += 1
+        session.releases_by_ping[session.last_ping_number], session.unconfirmed_releases = (
+            session.unconfirmed_releases,
+            [],
+        )
+        self.send_event(session, ws.Ping(b"heard %d" % session.last_ping_number))
 
-    def ponged(self, talk: WebSocketSession, payload: bytes) -> None:
-        talk.ponged = True
-        word, _, number = payload.partition(b" ")
-        if word != b"heard" or not number.isdigit() or int(number) not in talk.asked:
+    def on_pong(self, session: WebSocketSession, payload: bytes) -> None:
+        """Acknowledges the releases written before the ping that this pong answers."""
+        session.pong_received = True
+        prefix, _, number = payload.partition(b" ")
+        if prefix != b"heard" or not number.isdigit() or int(number) not in session.releases_by_ping:
             return
-        for each in [asked for asked in talk.asked if asked <= int(number)]:
-            for call in talk.asked.pop(each):
-                self.releases.on_acknowledged(call)
-
-    def tell(self, talk: WebSocketSession | None, kind: str, call: int | None = None, **more: object) -> bool:
-        """One message; False where the connection is gone."""
-        if talk is None or not talk.connection.is_open:
+        for ping in [earlier for earlier in session.releases_by_ping if earlier <= int(number)]:
+            for call_id in session.releases_by_ping.pop(ping):
+                self.releases.on_acknowledged(call_id)
+
+    def send_message(
+        self,
+        session: WebSocketSession | None,
+        message_type: str,
+        call_id: int | None = None,
+        **message_fields: object,
+    ) -> bool:
+        """Sends one JSON message; False if the connection is closed."""
+        if session is None or not session.connection.is_open:
             return False
-        names = {} if call is None else {"id": f"{call:016x}"}
-        self.write(talk, ws.TextMessage(json.dumps({"type": kind, **names, **more})))
-        return talk.connection.is_open
+        id_field = {} if call_id is None else {"id": f"{call_id:016x}"}
+        self.send_event(
+            session, ws.TextMessage(json.dumps({"type": message_type, **id_field, **message_fields}))
+        )
+        return session.connection.is_open
 
-    # Reading.
+    # Messages from clients.
 
     def on_data(self, connection: Connection, data: bytes) -> None:
-        talk = self.sessions[connection]
-        talk.last_data_at = self.loop.now()
+        session = self.sessions[connection]
+        session.last_data_at = self.loop.now()
         try:
-            talk.wire.receive_data(data)
-            whole = 0
-            for event in talk.wire.events():
+            session.websocket.receive_data(data)
+            messages_decoded = 0
+            for event in session.websocket.events():
                 if connection.is_open:
-                    self.take(talk, event)
-                    whole += talk.accepted and talk.length == 0
-            connection.on_messages_decoded(whole, talk.length > 0)
-        except RemoteProtocolError as fault:
-            log.info("not WebSocket", extra={"fault": str(fault)})
-            hint = fault.event_hint
-            if talk.accepted:
-                self.leave(talk, getattr(hint, "code", 1002), "protocol error")
+                    self.on_event(session, event)
+                    messages_decoded += session.handshake_accepted and session.message_length == 0
+            connection.on_messages_decoded(messages_decoded, session.message_length > 0)
+        except RemoteProtocolError as error:
+            log.info(
+                "closing client connection after a WebSocket protocol error", extra={"fault": str(error)}
+            )
+            hint = error.event_hint
+            if session.handshake_accepted:
+                self.close_session(session, getattr(hint, "code", 1002), "protocol error")
             else:
-                self.turn_away(talk, getattr(hint, "status_code", None) or 400)
+                self.reject_handshake(session, getattr(hint, "status_code", None) or 400)
 
-    def take(self, talk: WebSocketSession, event: ws.Event) -> None:
+    def on_event(self, session: WebSocketSession, event: ws.Event) -> None:
         match event:
             case ws.Request():
-                self.admit(talk, event)
+                self.on_handshake(session, event)
             case ws.TextMessage() | ws.BytesMessage():
-                self.gather(talk, event)
+                self.on_message_frame(session, event)
             case ws.Ping():
-                self.write(talk, event.response())
+                self.send_event(session, event.response())
             case ws.Pong():
-                self.ponged(talk, bytes(event.payload))
+                self.on_pong(session, bytes(event.payload))
             case ws.CloseConnection():
-                talk.connection.close_after_flush(talk.wire.send(event.response()))
-                self.abandon(talk)
+                session.connection.close_after_flush(session.websocket.send(event.response()))
+                self.withdraw_unanswered_calls(session)
 
-    def admit(self, talk: WebSocketSession, request: ws.Request) -> None:
-        """The handshake: the path and the page's origin must be ours."""
+    def on_handshake(self, session: WebSocketSession, request: ws.Request) -> None:
+        """Accepts a handshake to the configured path from a page of an allowed origin; rejects any other."""
         headers = {name.lower(): value for name, value in request.extra_headers}
         origin = headers.get(b"origin", b"").decode("latin-1")
         if request.target.partition("?")[0] != self.options.path:
-            self.turn_away(talk, 404)
+            self.reject_handshake(session, 404)
         elif origin not in self.options.origins:
-            log.warning("origin not allowed", extra={"origin": origin})
-            self.turn_away(talk, 403)
+            log.warning("handshake rejected: origin not allowed", extra={"origin": origin})
+            self.reject_handshake(session, 403)
         else:
-            talk.accepted = talk.ponged = True
-            self.write(talk, ws.AcceptConnection())
+            session.handshake_accepted = session.pong_received = True
+            self.send_event(session, ws.AcceptConnection())
 
-    def turn_away(self, talk: WebSocketSession, status: int) -> None:
+    def reject_handshake(self, session: WebSocketSession, status: int) -> None:
         try:
             headers = [(b"content-length", b"0"), (b"connection", b"close")]
-            talk.connection.close_after_flush(
-                talk.wire.send(ws.RejectConnection(headers=headers, status_code=status))
+            session.connection.close_after_flush(
+                session.websocket.send(ws.RejectConnection(headers=headers, status_code=status))
             )
-        except LocalProtocolError:  # what came was not even HTTP
-            talk.connection.close_after_flush(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
-
-    def gather(self, talk: WebSocketSession, event: ws.TextMessage | ws.BytesMessage) -> None:
-        """A message may come in many frames; no more of it is kept than may be served."""
-        talk.length += len(event.data)
-        talk.text = talk.text and isinstance(event, ws.TextMessage)
-        if talk.text and talk.length <= self.options.message_bytes:
-            talk.parts.append(str(event.data))
-        if talk.length > ENDLESS * self.options.message_bytes:
-            self.leave(talk, TOO_BIG, "a message without end")
+        except LocalProtocolError:  # the client did not send HTTP, so wsproto refuses to respond
+            session.connection.close_after_flush(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
+
+    def on_message_frame(self, session: WebSocketSession, event: ws.TextMessage | ws.BytesMessage) -> None:
+        """Collects the frames of a message and handles it when complete; answers faults with an error.
+
+        At most `message_bytes` characters are kept. A message of more than MESSAGE_ABORT_FACTOR times that
+        closes the connection, complete or not.
+        """
+        session.message_length += len(event.data)
+        session.message_is_text = session.message_is_text and isinstance(event, ws.TextMessage)
+        if session.message_is_text and session.message_length <= self.options.message_bytes:
+            session.message_parts.append(str(event.data))
+        if session.message_length > MESSAGE_ABORT_FACTOR * self.options.message_bytes:
+            self.close_session(session, CLOSE_MESSAGE_TOO_BIG, "a message without end")
             return
         if not event.message_finished:
             return
-        text, length, is_text = "".join(talk.parts), talk.length, talk.text
-        talk.parts, talk.length, talk.text = [], 0, True
+        text, length, is_text = (
+            "".join(session.message_parts),
+            session.message_length,
+            session.message_is_text,
+        )
+        session.message_parts, session.message_length, session.message_is_text = [], 0, True
         message: dict[str, Any] = {}
         try:
             if not is_text:
-                raise Fault("not_text", "messages are JSON texts")
+                raise MessageRejected("not_text", "messages must be JSON in text frames, got a binary frame")
             if length > self.options.message_bytes:
-                raise Fault("too_large", f"a message has {self.options.message_bytes} characters at the most")
-            message = self.parsed(text)
-            self.serve(talk, message)
-        except (Fault, SetUpRejected) as fault:
-            named = message.get("id")
-            more = {"id": named} if isinstance(named, str) and IDENTITY.fullmatch(named) else {}
-            self.tell(talk, "error", None, error=fault.name, detail=str(fault), **more)
+                raise MessageRejected(
+                    "too_large", f"message has {length} characters, the limit is {self.options.message_bytes}"
+                )
+            message = self.parse_message(text)
+            self.on_message(session, message)
+        except (MessageRejected, SetUpRejected) as error:
+            call_id = message.get("id")
+            id_field = (
+                {"id": call_id} if isinstance(call_id, str) and CALL_ID_PATTERN.fullmatch(call_id) else {}
+            )
+            self.send_message(session, "error", None, error=error.name, detail=str(error), **id_field)
 
     @staticmethod
-    def parsed(text: str) -> dict[str, Any]:
+    def parse_message(text: str) -> dict[str, Any]:
+        """Parses a JSON object; raises MessageRejected on any other text."""
         try:
             message = json.loads(text)
         except (ValueError, RecursionError):
-            raise Fault("malformed", "not JSON") from None
+            raise MessageRejected("malformed", "not JSON") from None
         if not isinstance(message, dict):
-            raise Fault("malformed", "not an object")
+            raise MessageRejected("malformed", "a message must be a JSON object")
         return message
 
-    def serve(self, talk: WebSocketSession, message: dict[str, Any]) -> None:
+    def on_message(self, session: WebSocketSession, message: dict[str, Any]) -> None:
         match message.get("type"):
             case "set_up":
-                self.switchboard.offer_call(request_of(message), WebSocketCaller(self, talk))
+                self.call_manager.offer_call(parse_set_up(message), WebSocketCaller(self, session))
             case "release":
-                self.release(message)
+                self.on_release(message)
             case "follow":
-                self.follow(talk, message)
+                self.on_follow(session, message)
             case _:
-                raise Fault("unknown_type", "type must be set_up, release or follow")
-
-    def release(self, message: dict[str, Any]) -> None:
-        """A set-up given up, or the end of a call that stands; it may come on any connection, and cross the
-        release of the same call."""
-        identity = identity_of(message)
-        if identity in self.releases:
-            self.releases.discard(identity)
+                raise MessageRejected("unknown_type", "type must be set_up, release or follow")
+
+    def on_release(self, message: dict[str, Any]) -> None:
+        """Handles the withdrawal of a set-up or the release of a standing call, on any connection.
+
+        If it crosses our release of the same call, that one need not be delivered any more.
+        """
+        call_id = parse_call_id(message)
+        if call_id in self.releases:
+            self.releases.discard(call_id)
             return
-        side = self.sides.get(identity)
-        if side is None or side.call is None or side.call.state is CallState.OVER:
-            raise Fault("unknown_call", "no call of this id is open here")
-        self.switchboard.on_caller_release(side.call)
-        self.forget(side)
-
-    def follow(self, talk: WebSocketSession, message: dict[str, Any]) -> None:
-        """A client that came back wants to hear of a call that stands, or that ended meanwhile."""
-        identity = identity_of(message)
-        if self.releases.redirect(identity, talk):
+        caller = self.callers.get(call_id)
+        if caller is None or caller.call is None or caller.call.state is CallState.OVER:
+            raise MessageRejected("unknown_call", "no call with this id is open on this front")
+        self.call_manager.on_caller_release(caller.call)
+        self.remove_caller(caller)
+
+    def on_follow(self, session: WebSocketSession, message: dict[str, Any]) -> None:
+        """Binds a call to the session of a reconnected client; sends its answer, or the release it missed."""
+        call_id = parse_call_id(message)
+        if self.releases.redirect(call_id, session):
             return
-        side = self.sides.get(identity)
-        if side is None or side.call is None or side.call.state in (CallState.HELD, CallState.TRYING):
-            raise Fault("unknown_call", "no call of this id stands here")
-        side.session = talk
-        side.say_answer()
+        caller = self.callers.get(call_id)
+        if caller is None or caller.call is None or caller.call.state in (CallState.HELD, CallState.TRYING):
+            raise MessageRejected("unknown_call", "no standing call with this id on this front")
+        caller.session = session
+        caller.send_answer()
 
-    def forget(self, side: WebSocketCaller) -> None:
-        if side.call is not None and self.sides.get(side.call.request.identity) is side:
-            del self.sides[side.call.request.identity]
-            side.call = None  # the call knows its side, too
+    def remove_caller(self, caller: WebSocketCaller) -> None:
+        """Removes a call that is over, and breaks the reference cycle between it and its caller."""
+        if caller.call is not None and self.callers.get(caller.call.request.identity) is caller:
+            del self.callers[caller.call.request.identity]
+            caller.call = None
 
 
 class WebSocketCaller:
-    """One call's client on this front."""
+    """The client of one call on this front; implements the core's `Caller` port."""
 
     __slots__ = ("call", "description", "front", "session")
 
-    def __init__(self, front: WebSocketFront, talk: WebSocketSession) -> None:
-        self.front, self.session = front, talk
+    def __init__(self, front: WebSocketFront, session: WebSocketSession) -> None:
+        self.front, self.session = front, session
         self.call: Call | None = None
         self.description: bytes | None = None
 
     def on_accepted(self, call: Call) -> None:
         self.call = call
-        self.session.calls[call.number] = call
-        self.front.sides[call.request.identity] = self
+        self.session.unanswered_calls[call.number] = call
+        self.front.callers[call.request.identity] = self
 
     def on_withdrawn(self, call: Call) -> None:
-        self.done(call)
+        self.discard_call(call)
 
-    def done(self, call: Call) -> None:
-        self.session.calls.pop(call.number, None)
-        self.front.forget(self)
+    def discard_call(self, call: Call) -> None:
+        self.session.unanswered_calls.pop(call.number, None)
+        self.front.remove_caller(self)
 
     def on_progress(self, call: Call) -> None:
-        self.front.tell(self.session, "progress", call.request.identity)
+        self.front.send_message(self.session, "progress", call.request.identity)
 
     def on_answered(self, call: Call, description: bytes | None) -> None:
-        self.session.calls.pop(call.number, None)
+        self.session.unanswered_calls.pop(call.number, None)
         self.description = description
-        self.say_answer()
+        self.send_answer()
 
-    def say_answer(self) -> None:
+    def send_answer(self) -> None:
         assert self.call is not None
-        text = None if self.description is None else base64.b64encode(self.description).decode()
-        self.front.tell(self.session, "answer", self.call.request.identity, description=text)
+        encoded_description = (
+            None if self.description is None else base64.b64encode(self.description).decode()
+        )
+        self.front.send_message(
+            self.session, "answer", self.call.request.identity, description=encoded_description
+        )
 
     def on_refused(self, call: Call, retry_after_ms: float) -> None:
-        self.done(call)
-        self.front.tell(self.session, "refused", call.request.identity, retry_after_ms=round(retry_after_ms))
+        self.discard_call(call)
+        self.front.send_message(
+            self.session, "refused", call.request.identity, retry_after_ms=round(retry_after_ms)
+        )
 
     def on_failed(self, call: Call) -> None:
-        self.done(call)
-        self.front.tell(self.session, "failed", call.request.identity)
+        self.discard_call(call)
+        self.front.send_message(self.session, "failed", call.request.identity)
 
     def on_released(self, call: Call, cut: bool) -> None:
-        cause = int(ReleaseCause.TEMPORARY if cut else ReleaseCause.NORMAL)
-        self.front.forget(self)
+        cause = int(ReleaseCause.TEMPORARY_FAILURE if cut else ReleaseCause.NORMAL_CLEARING)
+        self.front.remove_caller(self)
         self.front.releases.enqueue_release(call.request.identity, cause, self.session, "")
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -33,11 +33,19 @@
 from mintvalve.core.call_manager import CallManager
 from mintvalve.interface import Exchange, Settings, ExchangeState
 from mintvalve.net.binary_front import BinaryFront
-from mintvalve.net.codec import ReleaseCause, ParameterCode, Decoder, MessageType, Message, encode, release
+from mintvalve.net.codec import (
+    ReleaseCause,
+    ParameterCode,
+    Decoder,
+    MessageType,
+    Message,
+    encode,
+    encode_release,
+)
 from mintvalve.net.connection import Connection, Listener
 from mintvalve.net.exchange_links import ExchangeLinks
 from mintvalve.net.loop import Loop
-from mintvalve.net.websocket_front import Options, WebSocketFront
+from mintvalve.net.websocket_front import WebSocketOptions, WebSocketFront
 from tests.controller_harness import SETTINGS
 
 RIG_SETTINGS: Settings = replace(SETTINGS, release_wait_ms=250.0)
@@ -120,7 +128,7 @@
         self.decoders[connection] = Decoder()
         connection.on_messages_decoded(1, False)  # exempts it from the first-message time-out
         report = f"x0:{self.free_circuits};x1:20".encode()
-        connection.send(encode(Message(MessageType.GROUP_STATE, 0, {ParameterCode.REPORT: report})))
+        connection.send(encode(Message(MessageType.GROUP_STATE, 0, {ParameterCode.LOAD_REPORT: report})))
         for data in self.releases_to_repeat:
             connection.send(data)
         self.releases_to_repeat.clear()
@@ -128,8 +136,8 @@
     def on_data(self, connection: Connection, data: bytes) -> None:
         for message in self.decoders[connection].feed(data):
             self.received.append(message)
-            if message.kind == MessageType.SET_UP:
-                self.connection_by_call[message.call] = connection
+            if message.message_type == MessageType.SET_UP:
+                self.connection_by_call[message.call_id] = connection
                 if self.on_set_up is not None:
                     self.on_set_up(self, message)
 
@@ -151,13 +159,13 @@
         self.send(MessageType.ANSWER, call, {ParameterCode.DESCRIPTION: description})
 
     def release(self, call: int, cause: ReleaseCause, note: str = "") -> None:
-        note_parameter: dict[int, bytes] = {ParameterCode.NOTE: note.encode()} if note else {}
+        note_parameter: dict[int, bytes] = {ParameterCode.REFUSAL_REASON: note.encode()} if note else {}
         self.send(MessageType.RELEASE, call, {ParameterCode.CAUSE: bytes([cause]), **note_parameter})
 
     def end_call(self, call: int, cause: ReleaseCause) -> None:
         """Release a standing call as an exchange does: on the connection of its set-up or any open one, and
         again on the next one opened."""
-        data = release(call, cause)
+        data = encode_release(call, cause)
         set_up_connections = [self.connection_by_call[call]] if call in self.connection_by_call else []
         for connection in [*set_up_connections, *self.decoders]:
             if connection.is_open and connection.send(data):
@@ -166,7 +174,7 @@
 
     def types_and_causes(self, call: int) -> list[tuple[int, int]]:
         """Types and causes of the messages received for a call, in order."""
-        return [(message.kind, message.cause) for message in self.received if message.call == call]
+        return [(message.message_type, message.cause) for message in self.received if message.call_id == call]
 
 
 class Client:
@@ -230,9 +238,9 @@
     def on_data(self, connection: Connection, data: bytes) -> None:
         for message in self.decoder.feed(data):
             self.messages.append(message)
-            call_id = f"{message.call:016x}"
+            call_id = f"{message.call_id:016x}"
             was_answered = any(entry[:2] == ("answer", call_id) for entry in self.received)
-            match message.kind:
+            match message.message_type:
                 case MessageType.ANSWER:
                     self.received.append(
                         ("answer", call_id, message.parameters.get(ParameterCode.DESCRIPTION))
@@ -240,12 +248,12 @@
                 case MessageType.RELEASE if was_answered:
                     self.received.append(("release", call_id, message.cause))
                     if self.acknowledges:
-                        self.send(MessageType.RELEASE_HEARD, message.call)
+                        self.send(MessageType.RELEASE_COMPLETE, message.call_id)
                 case MessageType.RELEASE:
                     is_refusal = message.cause in (
                         ReleaseCause.NO_CIRCUIT,
                         ReleaseCause.CONGESTION,
-                        ReleaseCause.MOOT,
+                        ReleaseCause.TIMER_EXPIRED,
                     )
                     self.received.append(("refused" if is_refusal else "failed", call_id))
                 case MessageType.PROGRESS:
@@ -267,16 +275,16 @@
             MessageType.SET_UP,
             call,
             {
-                ParameterCode.CLASS: call_class.encode(),
-                ParameterCode.WAIT: str(wait_ms).encode(),
-                ParameterCode.CALLED: called.encode(),
-                ParameterCode.FIGURES: figures,
+                ParameterCode.CALL_CLASS: call_class.encode(),
+                ParameterCode.WAIT_MS: str(wait_ms).encode(),
+                ParameterCode.CALLED_NUMBER: called.encode(),
+                ParameterCode.ROUTING: figures,
                 ParameterCode.DESCRIPTION: b"offer\0\xff",
             },
         )
 
     def release(self, call: int) -> None:
-        self.connection.send(release(call, ReleaseCause.NORMAL))
+        self.connection.send(encode_release(call, ReleaseCause.NORMAL_CLEARING))
 
 
 class WebSocketClient(CallingClient):
@@ -373,7 +381,7 @@
         self.binary_front = BinaryFront(
             self.loop, self.call_manager, ("127.0.0.1", 0), 64, self.exchange_links.release_everywhere
         )
-        options = Options("127.0.0.1:0", (ALLOWED_ORIGIN,), outbound_bytes=8192)
+        options = WebSocketOptions("127.0.0.1:0", (ALLOWED_ORIGIN,), outbound_bytes=8192)
         self.websocket_front = WebSocketFront(self.loop, self.call_manager, options, ("127.0.0.1", 0))
         self.exchange_links.on_unknown_release = self.binary_front.release_unknown_call
         self.filler_sockets: list[socket.socket] = []
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -1,19 +1,19 @@
-"""The binary codec: every message survives any cutting of its bytes; other bytes are named, never a crash."""
+"""Tests of the binary codec: messages survive any fragmentation; other bytes raise ProtocolError only."""
 
 import pytest
 from hypothesis import given, settings, strategies as st
 
 from mintvalve.net.codec import (
-    FROM_CALLERS,
-    FROM_EXCHANGES,
-    MOST,
+    CALLER_MESSAGE_TYPES,
+    EXCHANGE_MESSAGE_TYPES,
+    MAX_MESSAGE_BYTES,
     ProtocolError,
     ParameterCode,
     Decoder,
     MessageType,
     Message,
     encode,
-    release,
+    encode_release,
 )
 
 MESSAGES = st.builds(
@@ -26,32 +26,32 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(MESSAGES, max_size=5), st.lists(st.integers(1, 40), min_size=1, max_size=20))
-def test_messages_survive_any_cutting(messages: list[Message], cuts: list[int]) -> None:
-    data, decoder, heard = b"".join(map(encode, messages)), Decoder(), list[Message]()
-    place = 0
+def test_messages_survive_any_fragmentation(messages: list[Message], chunk_sizes: list[int]) -> None:
+    data, decoder, decoded = b"".join(map(encode, messages)), Decoder(), list[Message]()
+    chunk_index = 0
     while data:
-        size = cuts[place % len(cuts)]
-        heard += decoder.feed(data[:size])
-        data, place = data[size:], place + 1
-    assert heard == messages
+        size = chunk_sizes[chunk_index % len(chunk_sizes)]
+        decoded += decoder.feed(data[:size])
+        data, chunk_index = data[size:], chunk_index + 1
+    assert decoded == messages
 
 
 @settings(derandomize=True, deadline=None)
 @given(st.binary(max_size=200))
-def test_any_bytes_are_messages_or_bad_bytes(data: bytes) -> None:
+def test_any_bytes_decode_or_raise_protocol_error(data: bytes) -> None:
     try:
         for message in Decoder().feed(data):
             (
-                message.text(ParameterCode.CLASS),
-                message.whole(ParameterCode.WAIT, 0),
-                message.fields(ParameterCode.FIGURES),
+                message.text(ParameterCode.CALL_CLASS),
+                message.integer(ParameterCode.WAIT_MS, 0),
+                message.key_values(ParameterCode.ROUTING),
             )
     except ProtocolError:
         pass
 
 
-def test_the_bytes_are_those_of_the_protocol() -> None:
-    assert release(0x7F3A9C21E0B4D655, 16).hex() == "000d0c7f3a9c21e0b4d6553d000110"
+def test_release_encoding_matches_the_protocol() -> None:
+    assert encode_release(0x7F3A9C21E0B4D655, 16).hex() == "000d0c7f3a9c21e0b4d6553d000110"
 
 
 @pytest.mark.parametrize(
@@ -60,34 +60,36 @@
         b"\0\x08",
         b"\0\0",
         b"\xff\xff",
-        (MOST - 1).to_bytes(2, "big"),  # lengths that no message has
-        b"\0\x0b\x01" + bytes(8) + b"\x21\0",  # half a parameter
-        b"\0\x0c\x01" + bytes(8) + b"\x21\0\x05",  # one longer than its message
+        (MAX_MESSAGE_BYTES - 1).to_bytes(2, "big"),  # up to here: lengths out of range
+        b"\0\x0b\x01" + bytes(8) + b"\x21\0",  # truncated parameter header
+        b"\0\x0c\x01" + bytes(8) + b"\x21\0\x05",  # truncated parameter value
     ],
 )
-def test_what_is_no_message_is_bad(data: bytes) -> None:
+def test_malformed_message_raises_protocol_error(data: bytes) -> None:
     with pytest.raises(ProtocolError):
         list(Decoder().feed(data))
 
 
-def test_a_kind_that_is_never_sent_is_bad_before_its_message_is_whole() -> None:
-    # Guards against noise that names a long message: all that follows would be waited for and swallowed.
-    for kinds, kind in (
-        (FROM_CALLERS, 123),
-        (FROM_CALLERS, MessageType.ANSWER),
-        (FROM_EXCHANGES, MessageType.SET_UP),
+def test_unexpected_message_type_is_rejected_before_the_message_is_complete() -> None:
+    # Guards against noise that announces a long message: the decoder would swallow all that follows.
+    for accepted_types, message_type in (
+        (CALLER_MESSAGE_TYPES, 123),
+        (CALLER_MESSAGE_TYPES, MessageType.ANSWER),
+        (EXCHANGE_MESSAGE_TYPES, MessageType.SET_UP),
     ):
         with pytest.raises(ProtocolError):
-            list(Decoder(kinds).feed(b"\x3f\0" + bytes([kind])))
+            list(Decoder(accepted_types).feed(b"\x3f\0" + bytes([message_type])))
 
 
 @pytest.mark.parametrize("text", ["soon", "nan", "1e9", "٣", "9" * 23, "9" * 400, "+5", "- 5"])
-def test_a_figure_that_means_nothing_is_bad(text: str) -> None:
-    # 400 digits make a whole number that no float takes: the handler failed and its caller heard nothing.
+def test_invalid_integer_raises_protocol_error(text: str) -> None:
+    # Guards against an integer of 400 digits, which no float holds: the handler failed and sent no answer.
     with pytest.raises(ProtocolError):
-        Message(MessageType.SET_UP, 1, {ParameterCode.WAIT: text.encode()}).whole(ParameterCode.WAIT, 0)
+        Message(MessageType.SET_UP, 1, {ParameterCode.WAIT_MS: text.encode()}).integer(
+            ParameterCode.WAIT_MS, 0
+        )
 
 
-def test_no_message_is_longer_than_the_protocol_allows() -> None:
+def test_encoding_a_message_above_the_size_limit_fails() -> None:
     with pytest.raises(ValueError):
-        encode(Message(MessageType.ANSWER, 1, {ParameterCode.DESCRIPTION: bytes(MOST)}))
+        encode(Message(MessageType.ANSWER, 1, {ParameterCode.DESCRIPTION: bytes(MAX_MESSAGE_BYTES)}))
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -10,7 +10,7 @@
 from mintvalve.config import files
 from mintvalve.config.__main__ import main
 from mintvalve.lifecycle import Phase
-from mintvalve.net.websocket_front import Options
+from mintvalve.net.websocket_front import WebSocketOptions
 
 EXAMPLES = Path(__file__).parent.parent / "docs" / "examples"
 SHARED = ["--settings", str(EXAMPLES / "settings.yaml")]
@@ -62,7 +62,9 @@
     monkeypatch.delenv("PROXY_LISTEN", raising=False)
     main([*SHARED, "write", str(EXAMPLES / "inventory.csv"), "--out", str(tmp_path)])
     app = tmp_path / "inverness-desk"
-    lifecycle = build(read_file(app / files.CONFIG), Options.parse((app / files.WEBSOCKET).read_text()), dict)
+    lifecycle = build(
+        read_file(app / files.CONFIG), WebSocketOptions.parse((app / files.WEBSOCKET).read_text()), dict
+    )
     assert lifecycle.phase is Phase.STARTING
     board = lifecycle.switchboard
     assert (board.rules.home, board.rules.max_attempts, len(board.exchanges)) == (2, 4, 3)
--- a/tests/test_exchange_links.py
+++ b/tests/test_exchange_links.py
@@ -7,7 +7,7 @@
 from mintvalve.interface import Outcome
 from mintvalve.core.calls import CancelAttempt, AttemptEnded, CallEvent, Command, SendSetUp
 from mintvalve.net.connection import Connection
-from mintvalve.net.codec import ReleaseCause, ParameterCode, MessageType, Message, encode, release
+from mintvalve.net.codec import ReleaseCause, ParameterCode, MessageType, Message, encode, encode_release
 from tests.rig import BinaryClient, ScriptedDecisions, Rig
 
 
@@ -40,13 +40,17 @@
     caller.set_up(7, wait_ms=3000, called="7f3a")
     rig.run_until(lambda: rig.exchange().connection_by_call)
     message = rig.exchange().received[-1]
-    assert (message.call, message.text(ParameterCode.CLASS), message.text(ParameterCode.CALLED)) == (
+    assert (
+        message.call_id,
+        message.text(ParameterCode.CALL_CLASS),
+        message.text(ParameterCode.CALLED_NUMBER),
+    ) == (
         7,
         "plain",
         "7f3a",
     )
     assert message.parameters[ParameterCode.DESCRIPTION] == b"offer\0\xff"
-    assert 0 < message.whole(ParameterCode.WAIT, 0) <= 3000
+    assert 0 < message.integer(ParameterCode.WAIT_MS, 0) <= 3000
 
 
 def close_connections(rig: Rig, cell: int = 1) -> None:
@@ -78,7 +82,7 @@
     caller = establish_call(rig, 7)
     make_unresponsive(rig)
     rig.advance(7900)
-    assert ("release", f"{7:016x}", ReleaseCause.TEMPORARY) in caller.received
+    assert ("release", f"{7:016x}", ReleaseCause.TEMPORARY_FAILURE) in caller.received
 
 
 def test_late_messages_on_an_old_connection_do_not_keep_other_calls(rig: Rig) -> None:
@@ -89,11 +93,15 @@
         establish_call(rig, call)
     make_unresponsive(rig)
     rig.advance(2800)
-    rig.exchange().release(8, ReleaseCause.FAULT)
+    rig.exchange().release(8, ReleaseCause.SIGNALLING_FAULT)
     rig.advance(3400)
-    rig.exchange().release(9, ReleaseCause.FAULT)
+    rig.exchange().release(9, ReleaseCause.SIGNALLING_FAULT)
     rig.advance(1500)
-    assert ("release", f"{7:016x}", ReleaseCause.TEMPORARY) in caller.received and not rig.call_manager.calls
+    assert (
+        "release",
+        f"{7:016x}",
+        ReleaseCause.TEMPORARY_FAILURE,
+    ) in caller.received and not rig.call_manager.calls
 
 
 def test_faults_on_malformed_set_ups_do_not_keep_calls(rig: Rig) -> None:
@@ -106,9 +114,9 @@
         faulty_client.set_up(call)
         rig.run_until(lambda call=call: call in rig.call_manager.by_identity)  # type: ignore[misc]
         rig.exchange().connection_by_call[call] = rig.exchange().connection_by_call[7]
-        rig.exchange().release(call, ReleaseCause.FAULT)
+        rig.exchange().release(call, ReleaseCause.SIGNALLING_FAULT)
     rig.advance(1300)
-    assert ("release", f"{7:016x}", ReleaseCause.TEMPORARY) in caller.received
+    assert ("release", f"{7:016x}", ReleaseCause.TEMPORARY_FAILURE) in caller.received
 
 
 def test_release_of_a_lost_attempt_does_not_end_the_next_attempt() -> None:
@@ -121,7 +129,9 @@
     rig.run_until(lambda: 7 in rig.exchange().connection_by_call)
     close_connections(rig)
     rig.advance(250)
-    rig.run_until(lambda: (MessageType.RELEASE, ReleaseCause.NORMAL) in rig.exchange().types_and_causes(7))
+    rig.run_until(
+        lambda: (MessageType.RELEASE, ReleaseCause.NORMAL_CLEARING) in rig.exchange().types_and_causes(7)
+    )
     rig.advance(300)
     rig.run_until(lambda: rig.exchange().types_and_causes(7)[-1][0] == MessageType.SET_UP)
     rig.exchange().answer(7)
@@ -150,7 +160,7 @@
     rig.advance(1000)
     assert (
         7 in rig.call_manager.by_identity
-        and ("release", f"{7:016x}", ReleaseCause.TEMPORARY) not in caller.received
+        and ("release", f"{7:016x}", ReleaseCause.TEMPORARY_FAILURE) not in caller.received
     )
 
 
@@ -164,7 +174,7 @@
     rig.advance(5000)
     rig.exchange().answer(8)
     rig.advance(2500)
-    assert ("release", f"{7:016x}", ReleaseCause.TEMPORARY) in caller.received
+    assert ("release", f"{7:016x}", ReleaseCause.TEMPORARY_FAILURE) in caller.received
 
 
 def test_release_written_to_a_closing_connection_is_repeated_on_the_next(rig: Rig) -> None:
@@ -176,7 +186,9 @@
     rig.run_until(lambda: not rig.call_manager.calls)
     close_connections(rig)
     rig.advance(200)
-    rig.run_until(lambda: (MessageType.RELEASE, ReleaseCause.NORMAL) in rig.exchange().types_and_causes(7))
+    rig.run_until(
+        lambda: (MessageType.RELEASE, ReleaseCause.NORMAL_CLEARING) in rig.exchange().types_and_causes(7)
+    )
 
 
 def test_release_followed_by_malformed_bytes_is_handled(rig: Rig) -> None:
@@ -187,8 +199,8 @@
     rig.run_until(lambda: 8 in rig.exchange().connection_by_call)
     rig.exchange().answer(8)
     rig.run_until(lambda: ("answer", f"{8:016x}", b"here") in caller.received)
-    rig.exchange().connection_by_call[7].send(release(7, ReleaseCause.NORMAL) + b"\xff" * 40)
-    rig.exchange().end_call(8, ReleaseCause.NORMAL)
+    rig.exchange().connection_by_call[7].send(encode_release(7, ReleaseCause.NORMAL_CLEARING) + b"\xff" * 40)
+    rig.exchange().end_call(8, ReleaseCause.NORMAL_CLEARING)
     rig.advance(200)
     released_calls = {f"{7:016x}", f"{8:016x}"}
     rig.run_until(lambda: {entry[1] for entry in caller.received if entry[0] == "release"} == released_calls)
@@ -212,7 +224,7 @@
     assert not [entry for entry in caller.received if entry[0] == "release"]
     rig.clock.ms += 700
     rig.set_exchanges(Rig.list_entry(1, up_since_ms=rig.clock.ms), Rig.list_entry(2))
-    rig.run_until(lambda: ("release", f"{7:016x}", ReleaseCause.TEMPORARY) in caller.received)
+    rig.run_until(lambda: ("release", f"{7:016x}", ReleaseCause.TEMPORARY_FAILURE) in caller.received)
 
 
 def reset_connections(rig: Rig, cell: int = 1) -> None:
@@ -230,7 +242,7 @@
     rig.exchange().listener.close()
     reset_connections(rig)
     rig.advance(500)
-    assert ("release", f"{7:016x}", ReleaseCause.TEMPORARY) in caller.received
+    assert ("release", f"{7:016x}", ReleaseCause.TEMPORARY_FAILURE) in caller.received
     outcomes = {
         event.attempt.call.request.identity: event.outcome
         for event in rig.decisions.events
@@ -250,8 +262,8 @@
     rig.advance(3000)
     assert rig.exchange().decoders and not [entry for entry in caller.received if entry[0] == "release"]
     rig.exchange().connection_by_call[7] = next(iter(rig.exchange().decoders))
-    rig.exchange().release(7, ReleaseCause.NORMAL)
-    rig.run_until(lambda: ("release", f"{7:016x}", ReleaseCause.NORMAL) in caller.received)
+    rig.exchange().release(7, ReleaseCause.NORMAL_CLEARING)
+    rig.run_until(lambda: ("release", f"{7:016x}", ReleaseCause.NORMAL_CLEARING) in caller.received)
 
 
 def test_draining_exchange_that_refuses_connections_keeps_its_calls(rig: Rig) -> None:
@@ -298,7 +310,7 @@
     assert rig.exchange().types_and_causes(7).count((MessageType.SET_UP, -1)) == 2
     assert rig.exchange().connection_by_call[7] is not first_connection
     first_connection.send(encode(Message(MessageType.ANSWER, 7, {ParameterCode.DESCRIPTION: b"late"})))
-    first_connection.send(release(7, ReleaseCause.NORMAL))
+    first_connection.send(encode_release(7, ReleaseCause.NORMAL_CLEARING))
     expect_single_answer(rig, caller, 7)
     rig.close()
 
@@ -333,7 +345,7 @@
     # The exchange may count a call as answered and hold circuits for it, so it is sent a release.
     rig.run_until(
         lambda: all(
-            (MessageType.RELEASE, ReleaseCause.NORMAL) in rig.exchange().types_and_causes(call)
+            (MessageType.RELEASE, ReleaseCause.NORMAL_CLEARING) in rig.exchange().types_and_causes(call)
             for call in (7, 8)
         )
     )
@@ -346,10 +358,14 @@
         encode(Message(MessageType.RELEASE, 7)),
         encode(Message(MessageType.RELEASE, 7, {ParameterCode.CAUSE: b"\x99"})),
         encode(
-            Message(MessageType.RELEASE, 7, {ParameterCode.CAUSE: b"\x22", ParameterCode.REPORT: b"x0:nan"})
+            Message(
+                MessageType.RELEASE, 7, {ParameterCode.CAUSE: b"\x22", ParameterCode.LOAD_REPORT: b"x0:nan"}
+            )
         ),
         encode(
-            Message(MessageType.RELEASE, 7, {ParameterCode.CAUSE: b"\x22", ParameterCode.PAUSE: b"9" * 400})
+            Message(
+                MessageType.RELEASE, 7, {ParameterCode.CAUSE: b"\x22", ParameterCode.PAUSE_MS: b"9" * 400}
+            )
         ),
         encode(Message(MessageType.SET_UP, 7)),
     ],
@@ -371,7 +387,7 @@
     caller = BinaryClient(rig)
     caller.set_up(7)
     rig.run_until(lambda: 7 in rig.exchange().connection_by_call)
-    rig.exchange().connection_by_call[7].send(2 * release(7, ReleaseCause.NO_CIRCUIT))
+    rig.exchange().connection_by_call[7].send(2 * encode_release(7, ReleaseCause.NO_CIRCUIT))
     rig.run_until(lambda: len(rig.exchange().types_and_causes(7)) == 2)
     expect_single_answer(rig, caller, 7)
     rig.close()
@@ -381,15 +397,17 @@
     first_caller = establish_call(rig, 7)
     other_caller = BinaryClient(rig)
     other_caller.release(7)
-    rig.run_until(lambda: (MessageType.RELEASE, ReleaseCause.NORMAL) in rig.exchange().types_and_causes(7))
+    rig.run_until(
+        lambda: (MessageType.RELEASE, ReleaseCause.NORMAL_CLEARING) in rig.exchange().types_and_causes(7)
+    )
     assert not rig.call_manager.calls
     second_caller = establish_call(rig, 8)
     second_caller.disconnect()
     rig.run_pending()
-    rig.exchange().release(8, ReleaseCause.NORMAL)
+    rig.exchange().release(8, ReleaseCause.NORMAL_CLEARING)
     rig.run_until(
         lambda: any(
-            message.call == 8 and message.kind == MessageType.RELEASE
+            message.call_id == 8 and message.message_type == MessageType.RELEASE
             for message in [*first_caller.messages, *other_caller.messages]
         )
     )
@@ -401,24 +419,24 @@
     caller = BinaryClient(rig)
     rig.run_until(lambda: rig.exchange().decoders)
     rig.exchange().connection_by_call[99] = next(iter(rig.exchange().decoders))
-    rig.exchange().release(99, ReleaseCause.NORMAL)
+    rig.exchange().release(99, ReleaseCause.NORMAL_CLEARING)
     rig.run_until(lambda: len(rig.binary_front.releases))
     rig.advance(500)
-    rig.run_until(lambda: any(message.call == 99 for message in caller.messages))
+    rig.run_until(lambda: any(message.call_id == 99 for message in caller.messages))
 
 
 def test_address_change_of_an_exchange_releases_its_calls(rig: Rig) -> None:
     # Guards against calls that belong to no link any more and would stand for ever.
     caller = establish_call(rig, 7)
     rig.exchange_links.update_addresses({"x1": rig.exchange(2).address, "x2": rig.exchange(2).address})
-    rig.run_until(lambda: ("release", f"{7:016x}", ReleaseCause.TEMPORARY) in caller.received)
+    rig.run_until(lambda: ("release", f"{7:016x}", ReleaseCause.TEMPORARY_FAILURE) in caller.received)
     assert not rig.call_manager.calls
 
 
 def test_release_of_an_ended_call_is_not_forwarded(rig: Rig) -> None:
     # Both sides may release a call at the same time; the caller's release then crosses the exchange's.
     caller = establish_call(rig, 7)
-    rig.exchange().release(7, ReleaseCause.NORMAL)
+    rig.exchange().release(7, ReleaseCause.NORMAL_CLEARING)
     rig.run_until(lambda: not rig.call_manager.calls)
     caller.release(7)
     caller.release(99)  # from before a restart: its exchange is not known, so it is sent to all
--- a/tests/test_name_server_client.py
+++ b/tests/test_name_server_client.py
@@ -1,4 +1,4 @@
-"""The list of exchanges: the configuration's events and the name server's answers."""
+"""Tests of the list of exchanges, from the configuration's events and the name server's responses."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -11,30 +11,32 @@
 from mintvalve.interface import ExchangeState
 from mintvalve.net.loop import Loop
 from mintvalve.net.name_server_client import (
-    ASK_MS,
-    LOST_MS,
+    QUERY_INTERVAL_MS,
+    QUERY_TIMEOUT_MS,
     ListedExchange,
     NameServerClient,
-    known_events,
-    merged,
+    parse_known_events,
+    merge_events,
 )
 from tests.rig import ManualClock, Rig
 
-NAME = "_api._tcp.svc.local."
+SERVICE_NAME = "_api._tcp.svc.local."
 
 
-def member(name: str, cell: int, phase: str = "SERVING", port: int = 1, born: float = 0) -> dict[str, Any]:
+def member(
+    name: str, cell: int, phase: str = "SERVING", port: int = 1, up_since_ms: float = 0
+) -> dict[str, Any]:
     return {
         "id": name,
         "host_port": f"10.1.0.9:{port}",
         "locality": "east",
         "cell": cell,
         "phase": phase,
-        "up_since_ms": born,
+        "up_since_ms": up_since_ms,
     }
 
 
-def test_known_events_add_up() -> None:
+def test_known_events_are_merged() -> None:
     known = {
         "seq": 3,
         "results": [
@@ -47,76 +49,78 @@
                 "seq": 3,
                 "fleet": {
                     "complete": False,
-                    "members": [member("c", 2, "DELETED"), member("d", 2, port=7, born=5.0)],
+                    "members": [member("c", 2, "DELETED"), member("d", 2, port=7, up_since_ms=5.0)],
                 },
             },
         ],
     }
-    held = merged(known_events(known))
-    assert {name: entry.exchange.state for name, entry in held.items()} == {
+    exchanges = merge_events(parse_known_events(known))
+    assert {name: entry.exchange.state for name, entry in exchanges.items()} == {
         "a": ExchangeState.READY,
         "b": ExchangeState.DRAINING,
         "d": ExchangeState.READY,
     }
-    assert (held["d"].address, held["d"].exchange.up_since_ms) == (("10.1.0.9", 7), 5.0)
+    assert (exchanges["d"].address, exchanges["d"].exchange.up_since_ms) == (("10.1.0.9", 7), 5.0)
 
 
-class Service:
-    """A stand-in name server on the rig's loop, and the client that asks it."""
+class FakeNameServer:
+    """A name server on a UDP socket, and the client under test on a loop whose clock the test moves."""
 
     def __init__(self) -> None:
         self.loop = Loop(ManualClock())
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.bind(("127.0.0.1", 0))
-        self.told: list[dict[str, ListedExchange]] = []
-        self.names = NameServerClient(self.loop, self.sock.getsockname(), 1, self.told.append)
+        self.updates: list[dict[str, ListedExchange]] = []
+        self.client = NameServerClient(self.loop, self.sock.getsockname(), 1, self.updates.append)
 
-    def reply(self, serial: int | None, *members: tuple[str, int, int], mangle: str = "") -> None:
-        """One answer; members are (id, cell, priority)."""
+    def respond(self, serial: int | None, *members: tuple[str, int, int], defect: str = "") -> None:
+        """Responds to the next query. Members are (id, cell, priority); a `defect` spoils the response."""
         self.sock.settimeout(20.0)
         data, sender = self.sock.recvfrom(8192)
-        reply = dns.message.make_response(dns.message.from_wire(data))
+        response = dns.message.make_response(dns.message.from_wire(data))
         if serial is not None:
             soa = f"ns.svc.local. host.svc.local. {serial} 1 1 1 1"
-            reply.authority.append(dns.rrset.from_text("svc.local.", 1, "IN", "SOA", soa))
+            response.authority.append(dns.rrset.from_text("svc.local.", 1, "IN", "SOA", soa))
         for name, cell, priority in members:
             target = f"{name}.east.hosts."
-            reply.answer.append(dns.rrset.from_text(NAME, 1, "IN", "SRV", f"{priority} 40 3868 {target}"))
-            if mangle != "no address":
-                reply.additional.append(dns.rrset.from_text(target, 1, "IN", "A", "10.1.0.9"))
-            facts = f'"kind=std" "cell={cell}" "started=12"'
-            reply.additional.append(dns.rrset.from_text(target, 1, "IN", "TXT", facts))
-        reply.id = (reply.id + 1) % 65536 if mangle == "id" else reply.id
-        wire = reply.to_wire()
-        self.sock.sendto(wire[:40] if mangle == "cut" else wire, sender)
+            response.answer.append(
+                dns.rrset.from_text(SERVICE_NAME, 1, "IN", "SRV", f"{priority} 40 3868 {target}")
+            )
+            if defect != "no address":
+                response.additional.append(dns.rrset.from_text(target, 1, "IN", "A", "10.1.0.9"))
+            values = f'"kind=std" "cell={cell}" "started=12"'
+            response.additional.append(dns.rrset.from_text(target, 1, "IN", "TXT", values))
+        response.id = (response.id + 1) % 65536 if defect == "id" else response.id
+        wire = response.to_wire()
+        self.sock.sendto(wire[:40] if defect == "cut" else wire, sender)
         Rig.run_pending(self)  # type: ignore[arg-type]
 
-    def next_query(self) -> None:
-        self.later(LOST_MS)
-        self.later(ASK_MS - LOST_MS)
+    def advance_to_next_query(self) -> None:
+        self.advance(QUERY_TIMEOUT_MS)
+        self.advance(QUERY_INTERVAL_MS - QUERY_TIMEOUT_MS)
 
-    def later(self, ms: float) -> None:
+    def advance(self, ms: float) -> None:
         self.loop.clock.ms += ms  # type: ignore[attr-defined]
         Rig.run_pending(self)  # type: ignore[arg-type]
 
 
 @pytest.fixture
-def service() -> Iterator[Service]:
-    service = Service()
-    yield service
-    service.names.close()
-    service.sock.close()
-    service.loop.close()
-
-
-def test_a_newer_list_is_told_once(service: Service) -> None:
-    service.reply(2, ("a", 0, 0), ("b", 1, 1))
-    service.next_query()
-    service.reply(2, ("a", 0, 0), ("b", 1, 1))
-    service.next_query()
-    service.reply(1, ("a", 0, 0))
-    assert len(service.told) == 1
-    entry = service.told[0]["b"]
+def name_server() -> Iterator[FakeNameServer]:
+    name_server = FakeNameServer()
+    yield name_server
+    name_server.client.close()
+    name_server.sock.close()
+    name_server.loop.close()
+
+
+def test_newer_list_is_reported_once(name_server: FakeNameServer) -> None:
+    name_server.respond(2, ("a", 0, 0), ("b", 1, 1))
+    name_server.advance_to_next_query()
+    name_server.respond(2, ("a", 0, 0), ("b", 1, 1))
+    name_server.advance_to_next_query()
+    name_server.respond(1, ("a", 0, 0))
+    assert len(name_server.updates) == 1
+    entry = name_server.updates[0]["b"]
     assert (entry.address, entry.exchange.cell, entry.exchange.state, entry.exchange.zone) == (
         ("10.1.0.9", 3868),
         1,
@@ -126,39 +130,41 @@
     assert entry.exchange.up_since_ms == 12.0
 
 
-@pytest.mark.parametrize("mangle", ["no address", "id", "cut", "no serial"])
-def test_an_answer_that_is_none_leaves_the_list_as_it_was(service: Service, mangle: str) -> None:
-    service.reply(None if mangle == "no serial" else 2, ("a", 0, 0), mangle=mangle)
-    assert service.told == []
-    service.next_query()
-    service.reply(2, ("a", 0, 0))  # and the next one is heard
-    assert len(service.told) == 1
-
-
-def test_a_lost_answer_is_asked_for_again_soon_and_an_older_one_is_none(service: Service) -> None:
-    service.reply(3, ("a", 0, 0), ("b", 1, 0))
-    service.next_query()
-    for _ in range(2):  # lost, and asked again: not only after the usual pause
-        service.sock.settimeout(20.0)
-        service.sock.recvfrom(8192)
-        service.later(LOST_MS)
-    service.reply(2, ("a", 0, 0))
-    service.later(LOST_MS)
-    service.reply(4, ("a", 0, 0), ("c", 1, 0))
-    assert [sorted(each) for each in service.told] == [["a", "b"], ["a", "c"]]
-
-
-def test_another_server_is_asked_at_once_and_the_old_one_heard_no_more(service: Service) -> None:
-    service.reply(3, ("a", 0, 0), ("b", 1, 0))
-    service.next_query()
-    data, sender = service.sock.recvfrom(8192)  # still open when the server changes
-    old, service.sock = service.sock, socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    service.sock.bind(("127.0.0.1", 0))
-    service.names.move(service.sock.getsockname(), [])
-    reply = dns.message.make_response(dns.message.from_wire(data))
-    old.sendto(reply.to_wire(), sender)
-    old.close()
-    service.reply(4, ("a", 0, 0))  # the numbers go on
-    service.next_query()
-    service.reply(2, ("b", 0, 0))
-    assert [sorted(each) for each in service.told] == [["a", "b"], ["a"]]
+@pytest.mark.parametrize("defect", ["no address", "id", "cut", "no serial"])
+def test_invalid_response_leaves_the_list_unchanged(name_server: FakeNameServer, defect: str) -> None:
+    name_server.respond(None if defect == "no serial" else 2, ("a", 0, 0), defect=defect)
+    assert name_server.updates == []
+    name_server.advance_to_next_query()
+    name_server.respond(2, ("a", 0, 0))  # the next response is used
+    assert len(name_server.updates) == 1
+
+
+def test_lost_response_is_retried_and_an_older_list_is_ignored(name_server: FakeNameServer) -> None:
+    name_server.respond(3, ("a", 0, 0), ("b", 1, 0))
+    name_server.advance_to_next_query()
+    for _ in range(2):  # lost: the next query follows after the time-out, not the interval
+        name_server.sock.settimeout(20.0)
+        name_server.sock.recvfrom(8192)
+        name_server.advance(QUERY_TIMEOUT_MS)
+    name_server.respond(2, ("a", 0, 0))
+    name_server.advance(QUERY_TIMEOUT_MS)
+    name_server.respond(4, ("a", 0, 0), ("c", 1, 0))
+    assert [sorted(each) for each in name_server.updates] == [["a", "b"], ["a", "c"]]
+
+
+def test_changed_name_server_is_queried_at_once_and_the_old_one_is_ignored(
+    name_server: FakeNameServer,
+) -> None:
+    name_server.respond(3, ("a", 0, 0), ("b", 1, 0))
+    name_server.advance_to_next_query()
+    data, sender = name_server.sock.recvfrom(8192)  # a query still open when the server changes
+    old_socket, name_server.sock = name_server.sock, socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    name_server.sock.bind(("127.0.0.1", 0))
+    name_server.client.reconfigure(name_server.sock.getsockname(), [])
+    response = dns.message.make_response(dns.message.from_wire(data))
+    old_socket.sendto(response.to_wire(), sender)
+    old_socket.close()
+    name_server.respond(4, ("a", 0, 0))  # serials are compared with those of the old server
+    name_server.advance_to_next_query()
+    name_server.respond(2, ("b", 0, 0))
+    assert [sorted(each) for each in name_server.updates] == [["a", "b"], ["a"]]
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -20,7 +20,15 @@
 from wsproto import ConnectionType, WSConnection
 from wsproto import events as ws
 
-from mintvalve.net.codec import ReleaseCause, ParameterCode, Decoder, MessageType, Message, encode, release
+from mintvalve.net.codec import (
+    ReleaseCause,
+    ParameterCode,
+    Decoder,
+    MessageType,
+    Message,
+    encode,
+    encode_release,
+)
 
 ROOT = Path(__file__).parent.parent
 PATIENCE_S = 30.0  # s; only a test that fails waits so long
@@ -41,7 +49,7 @@
     def meet(self, free: int = 9) -> Peer:
         sock, _ = self.server.accept()
         peer = Peer(sock)
-        peer.send(MessageType.GROUP_STATE, 0, {ParameterCode.REPORT: f"x0:{free};x1:9".encode()})
+        peer.send(MessageType.GROUP_STATE, 0, {ParameterCode.LOAD_REPORT: f"x0:{free};x1:9".encode()})
         return peer
 
 
@@ -59,7 +67,7 @@
         """The next message of these types; others are passed over."""
         while True:
             for message in self.ready:
-                if message.kind in kinds:
+                if message.message_type in kinds:
                     self.ready.remove(message)
                     return message
             data = self.sock.recv(65536)
@@ -157,10 +165,10 @@
         MessageType.SET_UP,
         call,
         {
-            ParameterCode.CLASS: b"stock-check",
-            ParameterCode.WAIT: str(wait).encode(),
-            ParameterCode.CALLED: b"7f3a",
-            ParameterCode.FIGURES: b"dest:1;width:1;via:-1",
+            ParameterCode.CALL_CLASS: b"stock-check",
+            ParameterCode.WAIT_MS: str(wait).encode(),
+            ParameterCode.CALLED_NUMBER: b"7f3a",
+            ParameterCode.ROUTING: b"dest:1;width:1;via:-1",
             ParameterCode.DESCRIPTION: b"what the caller says",
         },
     )
@@ -176,18 +184,21 @@
 def test_a_call_from_its_test_to_its_release(program: Program) -> None:
     caller = program.caller()
     caller.send(MessageType.TEST, 1, {ParameterCode.CAUSE: b"\0"})
-    assert caller.next(MessageType.TESTED).cause == 1
+    assert caller.next(MessageType.TEST_RESULT).cause == 1
     set_up(caller, 0x7F3A9C21E0B4D655)
     heard = program.peer.next(MessageType.SET_UP)
-    assert heard.call == 0x7F3A9C21E0B4D655
+    assert heard.call_id == 0x7F3A9C21E0B4D655
     assert heard.parameters[ParameterCode.DESCRIPTION] == b"what the caller says"
-    assert (heard.text(ParameterCode.CLASS), heard.text(ParameterCode.CALLED)) == ("stock-check", "7f3a")
-    assert 0 < heard.whole(ParameterCode.WAIT, 0) < 9000
-    program.peer.send(MessageType.ANSWER, heard.call, {ParameterCode.DESCRIPTION: b"\0as it is\xff"})
+    assert (heard.text(ParameterCode.CALL_CLASS), heard.text(ParameterCode.CALLED_NUMBER)) == (
+        "stock-check",
+        "7f3a",
+    )
+    assert 0 < heard.integer(ParameterCode.WAIT_MS, 0) < 9000
+    program.peer.send(MessageType.ANSWER, heard.call_id, {ParameterCode.DESCRIPTION: b"\0as it is\xff"})
     assert caller.next(MessageType.ANSWER).parameters == {ParameterCode.DESCRIPTION: b"\0as it is\xff"}
     other = program.caller()  # a release may come on any connection
-    other.sock.sendall(release(heard.call, ReleaseCause.NORMAL))
-    assert program.peer.next(MessageType.RELEASE).cause == ReleaseCause.NORMAL
+    other.sock.sendall(encode_release(heard.call_id, ReleaseCause.NORMAL_CLEARING))
+    assert program.peer.next(MessageType.RELEASE).cause == ReleaseCause.NORMAL_CLEARING
 
 
 def test_bad_bytes_end_their_connection_and_nothing_else(program: Program) -> None:
@@ -195,7 +206,7 @@
     bad.sock.sendall(b"\0\0GET / HTTP/1.1\r\n\r\n")
     assert bad.sock.recv(100) == b""
     good.send(MessageType.TEST, 1, {ParameterCode.CAUSE: b"\0"})
-    assert good.next(MessageType.TESTED).cause == 1
+    assert good.next(MessageType.TEST_RESULT).cause == 1
 
 
 def test_the_name_server_is_heard_and_a_draining_exchange_gets_nothing_new(program: Program) -> None:
@@ -206,11 +217,11 @@
     assert caller.next(MessageType.RELEASE, MessageType.ANSWER).cause in (
         ReleaseCause.CONGESTION,
         ReleaseCause.NO_CIRCUIT,
-        ReleaseCause.MOOT,
+        ReleaseCause.TIMER_EXPIRED,
     )
     set_up(caller, 6, wait=1000)
-    assert caller.next(MessageType.RELEASE, MessageType.ANSWER).call == 6
-    assert not [each for each in program.peer.ready if each.kind == MessageType.SET_UP]
+    assert caller.next(MessageType.RELEASE, MessageType.ANSWER).call_id == 6
+    assert not [each for each in program.peer.ready if each.message_type == MessageType.SET_UP]
 
 
 def test_after_sigterm_what_was_taken_is_answered_and_the_program_ends(program: Program) -> None:
@@ -220,12 +231,12 @@
     program.process.send_signal(signal.SIGTERM)
     late = program.caller()  # callers may still come for a while
     set_up(late, 6)
-    assert program.peer.next(MessageType.SET_UP).call == 6
+    assert program.peer.next(MessageType.SET_UP).call_id == 6
     for call, connection in ((5, caller), (6, late)):
         program.peer.send(MessageType.ANSWER, call, {ParameterCode.DESCRIPTION: b"d"})
-        assert connection.next(MessageType.ANSWER).call == call
-        program.peer.sock.sendall(release(call, ReleaseCause.NORMAL))
-        assert connection.next(MessageType.RELEASE).cause == ReleaseCause.NORMAL
+        assert connection.next(MessageType.ANSWER).call_id == call
+        program.peer.sock.sendall(encode_release(call, ReleaseCause.NORMAL_CLEARING))
+        assert connection.next(MessageType.RELEASE).cause == ReleaseCause.NORMAL_CLEARING
     assert program.process.wait(PATIENCE_S) == 0
     log = program.process.communicate()[1]
     phases = [line.split("phase=")[1].split()[0] for line in log.splitlines() if "event=phase" in line]
@@ -249,10 +260,10 @@
         program.names.answer(2, {"s-0": (0, 1, 0), "s-1": (1, program.exchange.port, 1)})
     old.sock.close()
     program.peer.send(MessageType.ANSWER, 5, {ParameterCode.DESCRIPTION: b"d"})
-    assert caller.next(MessageType.ANSWER).call == 5
+    assert caller.next(MessageType.ANSWER).call_id == 5
     set_up(caller, 6, wait=1000)  # the new server said that the exchange drains
-    assert caller.next(MessageType.RELEASE, MessageType.ANSWER).call == 6
-    assert not [each for each in program.peer.ready if each.kind == MessageType.SET_UP]
+    assert caller.next(MessageType.RELEASE, MessageType.ANSWER).call_id == 6
+    assert not [each for each in program.peer.ready if each.message_type == MessageType.SET_UP]
 
 
 def test_what_no_exchange_answers_is_refused_before_the_program_ends(program: Program) -> None:
@@ -297,17 +308,17 @@
                     elif isinstance(event, ws.TextMessage):
                         heard.append(json.loads(event.data))
                 if not heard:
-                    call = program.peer.next(MessageType.SET_UP).call
+                    call = program.peer.next(MessageType.SET_UP).call_id
                     program.peer.send(MessageType.ANSWER, call, {ParameterCode.DESCRIPTION: b"d"})
 
         hear(1)
         assert heard == [{"type": "answer", "id": "00000000000000aa", "description": "ZA=="}]
-        program.peer.sock.sendall(release(0xAA, ReleaseCause.NORMAL))
+        program.peer.sock.sendall(encode_release(0xAA, ReleaseCause.NORMAL_CLEARING))
         hear(2)
         assert heard[1] == {"type": "release", "id": "00000000000000aa", "cause": 16}
         caller = program.caller()
         set_up(caller, 5)
-        assert program.peer.next(MessageType.SET_UP).call == 5
+        assert program.peer.next(MessageType.SET_UP).call_id == 5
     finally:
         program.close()
 
--- a/tests/test_release_model.py
+++ b/tests/test_release_model.py
@@ -41,7 +41,7 @@
         caller, exchange = self.callers[number % len(self.callers)], self.rig.exchange()
         self.last += 1
         call, name = self.last, f"{self.last:016x}"
-        exchange.on_set_up = lambda stand_in, message: stand_in.answer(message.call)
+        exchange.on_set_up = lambda stand_in, message: stand_in.answer(message.call_id)
         caller.set_up(call)
         self.rig.run_until(lambda: call in self.rig.call_manager.by_identity)
         while not any(each[1] == name for each in caller.received if each[0] != "progress"):
@@ -54,7 +54,7 @@
     def end_by_exchange(self, number: int, settle: bool) -> None:
         call = self.up.pop(number % len(self.up))
         self.by_exchange.append(call)
-        self.rig.exchange().end_call(call, ReleaseCause.NORMAL)
+        self.rig.exchange().end_call(call, ReleaseCause.NORMAL_CLEARING)
         if settle:
             self.rig.run_pending()
 
@@ -112,12 +112,12 @@
             told = [each for caller in self.all for each in self.releases(caller) if each == call]
             assert told, f"nobody heard that call {call} is over"
         for call in self.by_caller:
-            assert (MessageType.RELEASE, ReleaseCause.NORMAL) in rig.exchange().types_and_causes(call), (
-                f"call {call} stands there"
-            )
+            assert (MessageType.RELEASE, ReleaseCause.NORMAL_CLEARING) in rig.exchange().types_and_causes(
+                call
+            ), f"call {call} stands there"
         assert set(rig.call_manager.by_identity) == set(self.up)
         for call in self.up:
-            rig.exchange().end_call(call, ReleaseCause.NORMAL)
+            rig.exchange().end_call(call, ReleaseCause.NORMAL_CLEARING)
         rig.advance(65_000.0, step_ms=5000.0)
         link = rig.exchange_links.links["x1"]
         assert (
@@ -127,13 +127,13 @@
         )
         assert not link.attempts.all and not link.attempts.by_way and not link.attempts.tainted
         assert not len(link.releases) and not len(rig.binary_front.releases)
-        assert not rig.websocket_front.sides and not len(rig.websocket_front.releases)
+        assert not rig.websocket_front.callers and not len(rig.websocket_front.releases)
         rig.close()
 
     @staticmethod
     def releases(caller: CallingClient) -> list[int]:
         if isinstance(caller, BinaryClient):
-            return [each.call for each in caller.messages if each.kind == MessageType.RELEASE]
+            return [each.call_id for each in caller.messages if each.message_type == MessageType.RELEASE]
         assert isinstance(caller, WebSocketClient)
         return [int(each["id"], 16) for each in caller.messages if each["type"] == "release"]
 
