--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -191,8 +191,8 @@
             "ids": len(rig.call_manager.by_identity),
             "orders": len(rig.call_manager.pending_commands),
             "flights": sum(len(each.attempts) for each in links),
-            "flights by line": sum(len(each.attempts.by_way) for each in links),
-            "lines that may answer late": sum(len(each.attempts.tainted) for each in links),
+            "flights by line": sum(len(each.attempts.by_connection) for each in links),
+            "lines that may answer late": sum(len(each.attempts.late_answer_connections) for each in links),
             "releases to exchanges": sum(len(each.releases) for each in links),
             "releases to callers": len(rig.binary_front.releases),
             "callers' open set-ups": sum(
--- a/mintvalve/__main__.py
+++ b/mintvalve/__main__.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from mintvalve.core.rules import SLACK_MS
+from mintvalve.core.rules import TIME_LIMIT_SLACK_MS
 from mintvalve.core.call_manager import CallManager
 from mintvalve.facade import DecisionFacade
 from mintvalve.interface import ListUpdateKind
@@ -44,7 +44,7 @@
 ) -> Lifecycle:
     """All parts, from a configuration, which `read` reads again."""
     pairs = flatten_settings(config["settings"])
-    settings = extend_time_limits(build_settings(pairs), SLACK_MS)
+    settings = extend_time_limits(build_settings(pairs), TIME_LIMIT_SLACK_MS)
     loop = Loop()
     board = CallManager(settings, loop)
     seed = int(str(config["seed"]), 16) if "seed" in config else secrets.randbits(64)
--- a/mintvalve/core/__init__.py
+++ b/mintvalve/core/__init__.py
@@ -1,1 +1,1 @@
-"""Calls, attempts and outcomes; no wire, socket or name service is known here."""
+"""The call model: calls, attempts, outcomes, releases; independent of sockets and wire formats."""
--- a/mintvalve/core/attempts.py
+++ b/mintvalve/core/attempts.py
@@ -1,6 +1,6 @@
-"""The attempts and standing calls at one exchange, by the connection that each lies on.
+"""The attempts and standing calls at one exchange, indexed by call and by the connection that each uses.
 
-A way is whatever its owner sends words by; here it is only compared. Nothing here knows a wire or a clock.
+A connection is any hashable object; it is only compared. Uses neither sockets nor a clock.
 """
 
 from __future__ import annotations
@@ -12,129 +12,164 @@
 from mintvalve.core.calls import Attempt, CallState
 from mintvalve.core.nested_tables import remove_nested
 
-W = TypeVar("W", bound=Hashable)
+ConnectionT = TypeVar("ConnectionT", bound=Hashable)
 
-TAINTED_MOST = 512  # attempts given up at an exchange of which is kept where they went
-OVER_MOST = 4096  # calls that ended, of which is kept that they did
+MAX_LATE_ANSWER_CALLS = 512  # calls for each exchange
+MAX_ENDED_CALLS = 4096
 
 
 @dataclass(slots=True, eq=False)
-class OutstandingAttempt(Generic[W]):
-    """An attempt, from its set-up to the end of the call that it led to."""
+class OutstandingAttempt(Generic[ConnectionT]):
+    """An attempt from its set-up until it fails or the call that it led to ends."""
 
     attempt: Attempt
-    way: W | None = None  # None: waits for a connection, or outlived its own
-    start: int = 0  # bytes queued on the connection before the set-up
-    reads: int = 0  # what came with this read or before was said before the set-up left
+    connection: ConnectionT | None = None  # None: waits for a connection, or its connection closed
+    bytes_queued_before: int = 0  # queued on the connection in all, before the set-up
+    reads_before: int = 0  # reads of the connection before the set-up was sent
 
     @property
     def identity(self) -> int:
         return self.attempt.call.request.identity
 
     @property
-    def standing(self) -> bool:
+    def is_standing(self) -> bool:
         return self.attempt.call.state is CallState.STANDING
 
     @property
-    def trying(self) -> bool:
+    def is_trying(self) -> bool:
         return self.attempt.call.state is CallState.TRYING
 
 
-class AttemptTable(Generic[W]):
-    """All at one exchange. An entry ends with its call or attempt (`pop`), or with its way (`lost_with`);
-    there are no more than calls open here."""
+class AttemptTable(Generic[ConnectionT]):
+    """All outstanding attempts at one exchange, by the identity of their calls.
+
+    The owner removes an entry when its attempt or call ends (`pop`), also for those that `remove_connection`
+    returns, so there are never more entries than open calls.
+    """
 
     def __init__(self) -> None:
-        self.all: dict[int, OutstandingAttempt[W]] = {}
-        self.by_way: dict[W, dict[int, OutstandingAttempt[W]]] = {}
-        self.tainted: dict[int, set[W]] = {}  # call -> ways on which an earlier attempt may be answered yet
+        self.by_identity: dict[int, OutstandingAttempt[ConnectionT]] = {}
+        self.by_connection: dict[ConnectionT, dict[int, OutstandingAttempt[ConnectionT]]] = {}
+        # By identity: the connections on which an answer to an earlier attempt of the call may still arrive.
+        self.late_answer_connections: dict[int, set[ConnectionT]] = {}
 
     def __len__(self) -> int:
-        return len(self.all)
+        return len(self.by_identity)
 
-    def begin(self, attempt: Attempt) -> OutstandingAttempt[W]:
-        """A set-up is about to leave."""
+    def add(self, attempt: Attempt) -> OutstandingAttempt[ConnectionT]:
+        """Add an attempt whose set-up has not been sent yet; replaces an earlier one of the same call."""
         identity = attempt.call.request.identity
         self.pop(identity)
-        flight = self.all[identity] = OutstandingAttempt(attempt)
-        return flight
-
-    def leaves(self, flight: OutstandingAttempt[W], way: W, start: int, reads: int) -> None:
-        """Its set-up goes by this way."""
-        self.ground(flight)
-        flight.way, flight.start, flight.reads = way, start, reads
-        self.by_way.setdefault(way, {})[flight.identity] = flight
-
-    def ground(self, flight: OutstandingAttempt[W]) -> None:
-        """It is bound to no way any more."""
-        if flight.way is not None:
-            remove_nested(self.by_way, flight.way, flight.identity)
-        flight.way = None
-
-    def pop(self, identity: int) -> OutstandingAttempt[W] | None:
-        """The attempt, or its call, is over; the flight keeps its way for whoever asks where it went."""
-        flight = self.all.pop(identity, None)
-        if flight is not None and flight.way is not None:
-            remove_nested(self.by_way, flight.way, identity)
-        return flight
-
-    def waiting(self) -> list[OutstandingAttempt[W]]:
-        """Set-ups without a connection yet."""
-        return [each for each in self.all.values() if each.way is None and each.trying]
-
-    def grounded(self) -> list[OutstandingAttempt[W]]:
-        """Calls that stand and outlived their connection."""
-        return [each for each in self.all.values() if each.way is None and each.standing]
-
-    def needs(self, way: W, crowded: bool) -> bool:
-        """Something is open on it; where connections are few, calls that stand do without one of their
-        own."""
-        there = self.by_way.get(way, {}).values()
-        return any(each.trying for each in there) if crowded else bool(there)
-
-    # Whose an answer is.
-
-    def taint(self, identity: int, way: W) -> None:
-        """An attempt is over here, and an answer to it may still come by this way."""
-        self.tainted.setdefault(identity, set()).add(way)
-        if len(self.tainted) > TAINTED_MOST:
-            del self.tainted[next(iter(self.tainted))]
-
-    def fit(self, identity: int, ways: Iterable[W]) -> list[W]:
-        """The ways on which no answer to an earlier attempt of the call can come. Guards against taking that
-        answer for this attempt's: one that came late, for a call that was over, was passed on as good."""
-        used = self.tainted.get(identity, ())
-        return [each for each in ways if each not in used]
-
-    def meant(self, identity: int, way: W, reads: int) -> tuple[OutstandingAttempt[W] | None, bool]:
-        """The flight that a word which came by this way, with this read, belongs to; and whether it is one
-        of an earlier attempt of a call that is tried again: it came by another way, or before this set-up
-        left."""
-        flight = self.all.get(identity)
-        if flight is not None and flight.trying and (flight.way is not way or reads <= flight.reads):
+        outstanding = self.by_identity[identity] = OutstandingAttempt(attempt)
+        return outstanding
+
+    def bind(
+        self,
+        outstanding: OutstandingAttempt[ConnectionT],
+        connection: ConnectionT,
+        bytes_queued_before: int,
+        reads_before: int,
+    ) -> None:
+        """Record that the attempt's set-up is sent on this connection."""
+        self.unbind(outstanding)
+        outstanding.connection, outstanding.bytes_queued_before, outstanding.reads_before = (
+            connection,
+            bytes_queued_before,
+            reads_before,
+        )
+        self.by_connection.setdefault(connection, {})[outstanding.identity] = outstanding
+
+    def unbind(self, outstanding: OutstandingAttempt[ConnectionT]) -> None:
+        """Detach the attempt from its connection, if it has one."""
+        if outstanding.connection is not None:
+            remove_nested(self.by_connection, outstanding.connection, outstanding.identity)
+        outstanding.connection = None
+
+    def pop(self, identity: int) -> OutstandingAttempt[ConnectionT] | None:
+        """Remove an attempt that ended, or whose call ended; None if there is none. The returned attempt
+        keeps its connection, so that the caller can see where its set-up was sent."""
+        outstanding = self.by_identity.pop(identity, None)
+        if outstanding is not None and outstanding.connection is not None:
+            remove_nested(self.by_connection, outstanding.connection, identity)
+        return outstanding
+
+    def set_ups_without_connection(self) -> list[OutstandingAttempt[ConnectionT]]:
+        """Attempts whose set-up waits for a connection."""
+        return [
+            attempt
+            for attempt in self.by_identity.values()
+            if attempt.connection is None and attempt.is_trying
+        ]
+
+    def standing_without_connection(self) -> list[OutstandingAttempt[ConnectionT]]:
+        """Standing calls whose connection has closed."""
+        return [
+            attempt
+            for attempt in self.by_identity.values()
+            if attempt.connection is None and attempt.is_standing
+        ]
+
+    def is_needed(self, connection: ConnectionT, trying_only: bool) -> bool:
+        """Whether anything is outstanding on this connection; with `trying_only` standing calls do not count,
+        since they can do without their connection."""
+        attempts = self.by_connection.get(connection, {}).values()
+        return any(attempt.is_trying for attempt in attempts) if trying_only else bool(attempts)
+
+    # Matching of messages to attempts.
+
+    def expect_late_answer(self, identity: int, connection: ConnectionT) -> None:
+        """Record that an attempt of the call ended, and that an answer to it may still arrive on this
+        connection. Beyond `MAX_LATE_ANSWER_CALLS` the oldest record is evicted."""
+        self.late_answer_connections.setdefault(identity, set()).add(connection)
+        if len(self.late_answer_connections) > MAX_LATE_ANSWER_CALLS:
+            del self.late_answer_connections[next(iter(self.late_answer_connections))]
+
+    def without_late_answers(self, identity: int, connections: Iterable[ConnectionT]) -> list[ConnectionT]:
+        """Those of `connections` on which no answer to an earlier attempt of the call can arrive. Guards
+        against passing on a late answer to an ended attempt as the answer to the current one."""
+        excluded = self.late_answer_connections.get(identity, ())
+        return [connection for connection in connections if connection not in excluded]
+
+    def match_message(
+        self, identity: int, connection: ConnectionT, read_count: int
+    ) -> tuple[OutstandingAttempt[ConnectionT] | None, bool]:
+        """Find the attempt that a message belongs to, if any, and whether the message is stale.
+
+        The message arrived on `connection` with its read number `read_count`. It is stale, and belongs to an
+        earlier attempt of the call, if it came on another connection than the current attempt's, or before
+        that one's set-up was sent.
+        """
+        outstanding = self.by_identity.get(identity)
+        if (
+            outstanding is not None
+            and outstanding.is_trying
+            and (outstanding.connection is not connection or read_count <= outstanding.reads_before)
+        ):
             return None, True
-        return flight, False
-
-    def lost_with(self, way: W) -> list[OutstandingAttempt[W]]:
-        """A way is gone, and with it the set-ups open on it, which are returned; calls that stand go on."""
-        over = []
-        for flight in list(self.by_way.get(way, {}).values()):
-            if flight.standing:
-                self.ground(flight)
+        return outstanding, False
+
+    def remove_connection(self, connection: ConnectionT) -> list[OutstandingAttempt[ConnectionT]]:
+        """Handle the close of a connection: standing calls go on without one; attempts in progress on it are
+        lost and returned, still to be removed with `pop`."""
+        lost = []
+        for outstanding in list(self.by_connection.get(connection, {}).values()):
+            if outstanding.is_standing:
+                self.unbind(outstanding)
             else:
-                over.append(flight)
-        for identity, ways in list(self.tainted.items()):
-            ways.discard(way)
-            if not ways:
-                del self.tainted[identity]
-        return over
+                lost.append(outstanding)
+        for identity, connections in list(self.late_answer_connections.items()):
+            connections.discard(connection)
+            if not connections:
+                del self.late_answer_connections[identity]
+        return lost
 
 
 class EndedCalls:
-    """Calls that ended here, the latest ones: whoever still speaks of one is late, not of an earlier life."""
+    """The identities of the calls that ended most recently. A message about one of them is late; one about
+    any other unknown call may concern a call from before a restart of the program."""
 
-    def __init__(self, most: int = OVER_MOST) -> None:
-        self.most = most
+    def __init__(self, max_calls: int = MAX_ENDED_CALLS) -> None:
+        self.max_calls = max_calls
         self.calls: dict[int, None] = {}
 
     def __contains__(self, call: int) -> bool:
@@ -142,5 +177,5 @@
 
     def add(self, call: int) -> None:
         self.calls[call] = None
-        if len(self.calls) > self.most:
+        if len(self.calls) > self.max_calls:
             del self.calls[next(iter(self.calls))]
--- a/mintvalve/core/call_manager.py
+++ b/mintvalve/core/call_manager.py
@@ -1,6 +1,7 @@
-"""The life of every call: taken from a front, tried at exchanges as the desk decides, answered once, ended.
+"""Call processing: every call from its set-up by a front to its final answer and its release.
 
-The switchboard owns all calls and attempts. Fronts and the exchanges' side only carry words to and from it.
+The call manager owns all calls and attempts, sends set-ups as the decision module decides, and gives each
+call exactly one final answer. Fronts and exchange connections only pass messages to and from it.
 """
 
 from __future__ import annotations
@@ -28,14 +29,14 @@
     RefuseCall,
 )
 from mintvalve.core.ports import Caller, DecisionModule, ExchangeConnections, Timers
-from mintvalve.core.rules import MARGIN_MS, MUST_WAIT, SetUpRules
+from mintvalve.core.rules import ANSWER_MARGIN_MS, RELEASE_WAIT_OUTCOMES, SetUpRules
 from mintvalve.interface import Exchange, ListUpdateKind, Outcome, LoadReport, Settings, ExchangeState
 
 log = logging.getLogger("mintvalve.calls")
 
 
 class SetUpRejected(Exception):
-    """A set-up that can't be taken; `name` is the error's name."""
+    """A caller's set-up was rejected; `name` is the error code that clients see, the text the details."""
 
     def __init__(self, name: str, detail: str) -> None:
         super().__init__(detail)
@@ -43,259 +44,303 @@
 
 
 class CallManager:
-    """All calls of this controller."""
+    """All calls of this controller and their attempts.
+
+    `decision_module` and `exchange_connections` must be set before the first call. Runs on one thread.
+    `counts` holds the counters that are logged at the end of the program, by name.
+    """
 
     def __init__(self, settings: Settings, timers: Timers) -> None:
-        self.timers, self.rules = timers, SetUpRules.of(settings)
+        self.timers, self.rules = timers, SetUpRules.from_settings(settings)
         self.decision_module: DecisionModule
         self.exchange_connections: ExchangeConnections
-        self.kinds = {kind.name: kind for kind in settings.classes}
-        self.calls: dict[int, Call] = {}  # by own number: those not over
-        self.by_identity: dict[int, Call] = {}  # the same by identity
-        self.exchanges: dict[str, Exchange] = {}
-        self.serial = 0
-        self.unanswered_calls = 0  # calls taken that are owed a final answer
-        self.idle: Callable[[], None] | None = None  # told when no answer is owed any more
+        self.call_classes = {call_class.name: call_class for call_class in settings.classes}
+        self.calls: dict[int, Call] = {}  # calls that have not ended, by `local_id`
+        self.by_identity: dict[int, Call] = {}  # the same calls by identity
+        self.exchanges: dict[str, Exchange] = {}  # by address
+        self.last_local_id = 0
+        self.unanswered_calls = 0  # accepted calls without a final answer
+        self.on_all_calls_answered: Callable[[], None] | None = (
+            None  # called when `unanswered_calls` gets to 0
+        )
         self.pending_commands: deque[Command] = deque()
-        self.busy = False
-        self.ending = False  # the program ends: what comes now is refused at once
+        self.is_executing = False
+        self.shutting_down = False  # new calls are refused at once
         self.counts: dict[str, int] = {}
 
-    # From the fronts.
+    # Called by the fronts.
 
     def offer_call(self, request: CallRequest, caller: Caller) -> Call:
-        """A set-up: taken, or `Unacceptable`."""
+        """Accept a caller's set-up and ask the decision module for its commands.
+
+        Returns the call, which is already refused while the program shuts down. Raises SetUpRejected if the
+        request is a duplicate, names an unknown class, leaves no time or is out of range.
+        """
         if request.identity in self.by_identity:
-            raise SetUpRejected("duplicate_id", "a call of this id is open")
-        if request.call_class not in self.kinds:
-            raise SetUpRejected("unknown_class", f"no class is named {request.call_class[:40]}")
+            raise SetUpRejected("duplicate_id", "a call with this id is already open")
+        if request.call_class not in self.call_classes:
+            raise SetUpRejected("unknown_class", f"no call class is named {request.call_class[:40]}")
         if request.wait_ms <= 0:
-            raise SetUpRejected("no_time", "the caller's wait is over")
-        if fault := self.rules.out_of_range(request):
+            raise SetUpRejected("no_time", f"wait must be above 0 ms, got {request.wait_ms:.0f} ms")
+        if fault := self.rules.find_request_fault(request):
             raise SetUpRejected("bad_field", fault)
         now = self.timers.now()
-        self.serial += 1
-        call = Call(self.serial, request, caller, now, now + max(request.wait_ms - MARGIN_MS, 1.0))
-        if self.ending:
-            call.state = CallState.OVER
-            self.count("refused at the end")
+        self.last_local_id += 1
+        call = Call(
+            self.last_local_id, request, caller, now, now + max(request.wait_ms - ANSWER_MARGIN_MS, 1.0)
+        )
+        if self.shutting_down:
+            call.state = CallState.ENDED
+            self.increment_counter("refused at the end")
             caller.on_refused(call, 0.0)
             return call
-        call.deadline_timer = self.timers.call_later(call.deadline_at - now, lambda: self.overdue(call))
-        self.calls[call.number] = self.by_identity[request.identity] = call
+        call.deadline_timer = self.timers.call_later(call.deadline_at - now, lambda: self.on_deadline(call))
+        self.calls[call.local_id] = self.by_identity[request.identity] = call
         self.unanswered_calls += 1
-        self.count("taken")
+        self.increment_counter("taken")
         caller.on_accepted(call)
-        self.obey(self.decision_module.pick(call))
+        self.execute_commands(self.decision_module.pick(call))
         return call
 
     def on_caller_left(self, call: Call) -> None:
-        """The caller gave its set-up up, or its connection is gone; a call that stands goes on."""
+        """The caller cancelled its set-up, or its connection closed. A standing call goes on."""
         if call.state in (CallState.HELD, CallState.TRYING):
-            self.count("left")
-            self.drop(call)
+            self.increment_counter("left")
+            self.withdraw(call)
             call.caller.on_withdrawn(call)
 
     def on_caller_release(self, call: Call) -> None:
-        """The caller ends its call: a standing one is released, one being set up is given up."""
+        """The caller released its call: a standing call is released, a set-up is cancelled."""
         if call.state is not CallState.STANDING:
             self.on_caller_left(call)
             return
         attempt = call.attempt
         assert attempt is not None
-        self.close(call)
+        self.end_call(call)
         self.exchange_connections.release(attempt)
-        self.tell(AttemptEnded(attempt, Outcome.CANCELLED, self.timers.now() - attempt.sent_at, ended=True))
+        self.report_event(
+            AttemptEnded(attempt, Outcome.CANCELLED, self.timers.now() - attempt.sent_at, call_ended=True)
+        )
 
-    # From the exchanges' side.
+    # Called by the exchange connections.
 
     def on_progress(self, attempt: Attempt) -> None:
+        """The exchange reported progress; passed on to the caller unless the attempt has ended."""
         if attempt.call.attempt is attempt and attempt.call.state is CallState.TRYING:
             attempt.call.caller.on_progress(attempt.call)
 
     def on_answer(self, attempt: Attempt, description: bytes | None) -> None:
-        """An exchange answered."""
+        """The exchange answered: the call stands. Ignored if the attempt has ended."""
         call = attempt.call
         if call.attempt is not attempt or call.state is not CallState.TRYING:
             return
         call.state = CallState.STANDING
-        self.settle(call, attempt)
-        self.count("stood")
+        self.finish_set_up(call, attempt)
+        self.increment_counter("stood")
         call.caller.on_answered(call, description)
-        self.tell(AttemptAnswered(attempt, self.timers.now() - attempt.sent_at))
+        self.report_event(AttemptAnswered(attempt, self.timers.now() - attempt.sent_at))
 
     def on_attempt_ended(
         self,
         attempt: Attempt,
         outcome: Outcome,
-        clearing: int = 0,
-        pause_ms: float = 0.0,
+        clearing_cause: int = 0,
+        back_off_ms: float = 0.0,
         report: LoadReport | None = None,
     ) -> None:
-        """An attempt, or the call that stood by it, is over."""
+        """The attempt ended, or the standing call that it led to. A call whose attempt failed is held again
+        until the decision module decides on it. Ignored if the attempt has ended already.
+
+        `clearing_cause` and `back_off_ms` are those of `AttemptEnded`.
+        """
         call = attempt.call
-        if call.attempt is not attempt or call.state is CallState.OVER:
+        if call.attempt is not attempt or call.state is CallState.ENDED:
             return
         now = self.timers.now()
         standing = call.state is CallState.STANDING
         if standing:
-            self.close(call)
-            self.count("ended" if outcome is Outcome.ENDED else "cut")
+            self.end_call(call)
+            self.increment_counter("ended" if outcome is Outcome.ENDED else "cut")
             call.caller.on_released(call, outcome is not Outcome.ENDED)
         else:
-            self.count(f"attempt {outcome.value}")
-            self.leave(call, attempt)
-            if outcome in MUST_WAIT:
-                call.not_before = now + self.rules.release_wait_ms
-        self.tell(
+            self.increment_counter(f"attempt {outcome.value}")
+            self.return_to_held(call, attempt)
+            if outcome in RELEASE_WAIT_OUTCOMES:
+                call.retry_allowed_at = now + self.rules.release_wait_ms
+        self.report_event(
             AttemptEnded(
-                attempt, outcome, now - attempt.sent_at, standing, clearing, pause_ms, report or LoadReport()
+                attempt,
+                outcome,
+                now - attempt.sent_at,
+                standing,
+                clearing_cause,
+                back_off_ms,
+                report or LoadReport(),
             )
         )
 
     def on_group_state(self, exchange: str, report: LoadReport) -> None:
-        """The state of a trunk group."""
+        """An exchange reported the state of its trunk group; ignored if it is not on the list."""
         if exchange in self.exchanges:
-            self.tell(GroupStateChanged(exchange, report))
+            self.report_event(GroupStateChanged(exchange, report))
 
-    def cut_calls(self, exchange: str, before: float) -> None:
-        """An exchange's process died, or is out of reach for long: what stood by it since before is over. The
-        callers are told so, and the exchange, should it still be there."""
-        for call in [each for each in self.calls.values() if each.state is CallState.STANDING]:
+    def cut_calls(self, exchange: str, set_up_before: float) -> None:
+        """An exchange's process died or has been unreachable for long: end the standing calls at it whose
+        set-ups were sent before `set_up_before` (Unix milliseconds). Their callers get a release, and so does
+        the exchange, in case it is still there."""
+        for call in [call for call in self.calls.values() if call.state is CallState.STANDING]:
             attempt = call.attempt
-            if attempt is not None and attempt.exchange == exchange and attempt.sent_at < before:
+            if attempt is not None and attempt.exchange == exchange and attempt.sent_at < set_up_before:
                 self.exchange_connections.release(attempt)
                 self.on_attempt_ended(attempt, Outcome.RESET)
 
-    # From the name service, the clock and the program.
+    # Called by the name server client, the timers and the lifecycle of the program.
 
     def on_exchange_list(
         self, exchanges: Iterable[Exchange], kind: ListUpdateKind = ListUpdateKind.FULL
     ) -> None:
-        """The list of exchanges; processes that are gone or were started again have lost their calls. What
-        stands by the new process was set up since its start, which the list tells late, and stays."""
-        told = tuple(exchanges)
-        before = self.exchanges
-        fresh = {each.address: each for each in told}
-        self.exchanges = {**before, **fresh} if kind is ListUpdateKind.CHANGES else fresh
-        self.tell(ExchangeListChanged(kind, told))
-        for name, was in before.items():
-            now = self.exchanges.get(name)
-            if now is None or now.state is ExchangeState.GONE:
+        """The list of exchanges changed. Processes that are gone or were restarted have lost their calls,
+        which are cut. Calls set up since a restart are kept: the list reports it late, so they may stand at
+        the new process."""
+        listed = tuple(exchanges)
+        previous = self.exchanges
+        listed_by_name = {exchange.address: exchange for exchange in listed}
+        self.exchanges = {**previous, **listed_by_name} if kind is ListUpdateKind.CHANGES else listed_by_name
+        self.report_event(ExchangeListChanged(kind, listed))
+        for name, old in previous.items():
+            new = self.exchanges.get(name)
+            if new is None or new.state is ExchangeState.GONE:
                 self.cut_calls(name, math.inf)
-            elif now.up_since_ms != was.up_since_ms:
-                self.cut_calls(name, now.up_since_ms)
+            elif new.up_since_ms != old.up_since_ms:
+                self.cut_calls(name, new.up_since_ms)
 
     def on_timer(self, token: int) -> None:
-        """A timer of the desk."""
-        self.obey(self.decision_module.tick(token))
+        """A timer of the decision module expired."""
+        self.execute_commands(self.decision_module.tick(token))
 
     def refuse_open_calls(self) -> None:
-        """The program ends: whatever is owed an answer gets it now, and so does what still comes. Guards
-        against set-ups taken in the last moments, which ended without an answer on a day with restarts."""
-        self.ending = True
+        """Refuse all calls without a final answer, and from now on every new call: the program ends. Guards
+        against set-ups that arrive just before a restart and would end without an answer."""
+        self.shutting_down = True
         for call in list(self.calls.values()):
             if call.state in (CallState.HELD, CallState.TRYING):
-                self.refuse(call, 0.0)
+                self.refuse_without_decision(call, 0.0)
 
-    # The inside.
+    # Internal.
 
-    def overdue(self, call: Call) -> None:
-        """The deadline came first. Guards against a desk that fell silent: its callers are answered."""
+    def on_deadline(self, call: Call) -> None:
+        """Refuse the call if it has no final answer. Guards against a decision module that stays silent."""
         if call.state in (CallState.HELD, CallState.TRYING):
-            self.refuse(call, 0.0)
+            self.refuse_without_decision(call, 0.0)
 
-    def refuse(self, call: Call, retry_after_ms: float) -> None:
-        """Refused past the desk."""
-        self.count("refused past the desk")
-        self.drop(call)
+    def refuse_without_decision(self, call: Call, retry_after_ms: float) -> None:
+        """Refuse the call on the core's own account, not on a command of the decision module."""
+        self.increment_counter("refused past the desk")
+        self.withdraw(call)
         call.caller.on_refused(call, retry_after_ms)
 
-    def drop(self, call: Call) -> None:
-        """No answer is owed by the desk any more; what is out is given up."""
+    def withdraw(self, call: Call) -> None:
+        """End a call without a final answer: notify the decision module and cancel the attempt in
+        progress."""
         attempt = call.attempt
-        self.close(call)
-        self.tell(CallWithdrawn(call))
+        self.end_call(call)
+        self.report_event(CallWithdrawn(call))
         if attempt is not None:
             self.exchange_connections.cancel_set_up(attempt)
-            self.tell(
-                AttemptEnded(attempt, Outcome.CANCELLED, self.timers.now() - attempt.sent_at, ended=True)
+            self.report_event(
+                AttemptEnded(attempt, Outcome.CANCELLED, self.timers.now() - attempt.sent_at, call_ended=True)
             )
 
-    def tell(self, news: CallEvent) -> None:
-        self.obey(self.decision_module.report(news))
+    def report_event(self, event: CallEvent) -> None:
+        """Report an event to the decision module and execute the commands that it returns."""
+        self.execute_commands(self.decision_module.report(event))
 
-    def obey(self, orders: list[Command]) -> None:
-        """Carry orders out one by one; those that arise meanwhile wait for their turn."""
-        self.pending_commands.extend(orders)
-        if self.busy:
+    def execute_commands(self, commands: list[Command]) -> None:
+        """Execute commands in order. Those that arise from events during the execution are queued behind."""
+        self.pending_commands.extend(commands)
+        if self.is_executing:
             return
-        self.busy = True
+        self.is_executing = True
         try:
             while self.pending_commands:
-                self.carry_out(self.pending_commands.popleft())
+                self.execute_command(self.pending_commands.popleft())
         finally:
-            self.busy = False
+            self.is_executing = False
 
-    def carry_out(self, order: Command) -> None:
-        call = self.calls.get(order.call)
+    def execute_command(self, command: Command) -> None:
+        """Execute one command; ignored if its call has ended, or is not in the state for it."""
+        call = self.calls.get(command.call)
         if call is None:
             return
-        match order:
+        match command:
             case SendSetUp():
-                self.send(call, order)
+                self.start_attempt(call, command)
             case CancelAttempt():
                 attempt = call.attempt
-                if attempt is not None and attempt.index == order.attempt and call.state is CallState.TRYING:
+                if (
+                    attempt is not None
+                    and attempt.index == command.attempt
+                    and call.state is CallState.TRYING
+                ):
                     self.exchange_connections.cancel_set_up(attempt)
                     self.on_attempt_ended(attempt, Outcome.CANCELLED)
             case RefuseCall() | FailCall():
                 if call.state is CallState.TRYING and call.attempt is not None:
                     self.exchange_connections.cancel_set_up(call.attempt)
                 if call.state is CallState.STANDING:
-                    log.error("the desk answered a call that stands", extra={"call": call.number})
+                    log.error(
+                        "ignored a refusal or failure by the decision module: the call already stands",
+                        extra={"call": call.local_id},
+                    )
                     return
-                self.close(call)
-                if isinstance(order, RefuseCall):
-                    self.count("refused")
-                    call.caller.on_refused(call, order.retry_after_ms)
+                self.end_call(call)
+                if isinstance(command, RefuseCall):
+                    self.increment_counter("refused")
+                    call.caller.on_refused(call, command.retry_after_ms)
                 else:
-                    self.count("failed")
+                    self.increment_counter("failed")
                     call.caller.on_failed(call)
 
-    def send(self, call: Call, order: SendSetUp) -> None:
-        """The only place an attempt begins."""
+    def start_attempt(self, call: Call, command: SendSetUp) -> None:
+        """Send a set-up, or report it as not sent if it would break a rule. Every attempt starts here."""
         now = self.timers.now()
-        broken = self.rules.broken_by(call, self.exchanges.get(order.exchange), now)
+        violation = self.rules.find_violation(call, self.exchanges.get(command.exchange), now)
         attempt = Attempt(
-            call, call.attempts, order.exchange, now, min(order.wait_ms, call.deadline_at - now)
+            call, call.attempt_count, command.exchange, now, min(command.wait_ms, call.deadline_at - now)
         )
-        call.attempts += 1
-        if broken:
-            log.error("a set-up was held back", extra={"call": call.number, "rule": broken})
-            self.tell(AttemptEnded(attempt, Outcome.NOT_SENT, 0.0, ended=call.state is CallState.OVER))
+        call.attempt_count += 1
+        if violation:
+            log.error(
+                f"set-up to exchange {command.exchange} not sent, since it would break a rule",
+                extra={"call": call.local_id, "rule": violation},
+            )
+            self.report_event(
+                AttemptEnded(attempt, Outcome.NOT_SENT, 0.0, call_ended=call.state is CallState.ENDED)
+            )
             return
         call.attempt, call.state = attempt, CallState.TRYING
-        attempt.timer = self.timers.call_later(attempt.wait_ms, lambda: self.timed_out(attempt))
-        self.count("sent")
+        attempt.timer = self.timers.call_later(attempt.wait_ms, lambda: self.on_attempt_timeout(attempt))
+        self.increment_counter("sent")
         self.exchange_connections.set_up(attempt)
 
-    def timed_out(self, attempt: Attempt) -> None:
+    def on_attempt_timeout(self, attempt: Attempt) -> None:
         if attempt.call.attempt is attempt and attempt.call.state is CallState.TRYING:
             self.exchange_connections.cancel_set_up(attempt)
             self.on_attempt_ended(attempt, Outcome.TIMED_OUT)
 
-    def leave(self, call: Call, attempt: Attempt) -> None:
-        """The attempt is over, the call is held again."""
+    def return_to_held(self, call: Call, attempt: Attempt) -> None:
+        """Detach an attempt that ended without an answer from its call, which is held again."""
         call.attempt, call.state = None, CallState.HELD
         if attempt.timer is not None:
             attempt.timer.cancel()
             attempt.timer = None
 
-    def settle(self, call: Call, attempt: Attempt | None) -> None:
-        """No answer is owed any more. A call and its timers know each other, and so do it and its attempt:
-        the ties are cut as they end, else each call would be memory that only a collection over everything
-        finds."""
+    def finish_set_up(self, call: Call, attempt: Attempt | None) -> None:
+        """Stop the timers of a call that got its final answer, and count it as answered.
+
+        The references to the timers are cleared, since a call, its attempt and their timers refer to each
+        other: without that only a full garbage collection would free the memory of ended calls.
+        """
         for timer in (call.deadline_timer, attempt.timer if attempt is not None else None):
             if timer is not None:
                 timer.cancel()
@@ -303,16 +348,16 @@
         if attempt is not None:
             attempt.timer = None
         self.unanswered_calls -= 1
-        if self.unanswered_calls == 0 and self.idle is not None:
-            self.idle()
+        if self.unanswered_calls == 0 and self.on_all_calls_answered is not None:
+            self.on_all_calls_answered()
 
-    def close(self, call: Call) -> None:
-        """The call is over for good."""
+    def end_call(self, call: Call) -> None:
+        """Mark the call as ended and forget it."""
         if call.state is not CallState.STANDING:
-            self.settle(call, call.attempt)
-        call.state, call.attempt = CallState.OVER, None
-        self.calls.pop(call.number, None)
+            self.finish_set_up(call, call.attempt)
+        call.state, call.attempt = CallState.ENDED, None
+        self.calls.pop(call.local_id, None)
         self.by_identity.pop(call.request.identity, None)
 
-    def count(self, what: str) -> None:
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def increment_counter(self, name: str) -> None:
+        self.counts[name] = self.counts.get(name, 0) + 1
--- a/mintvalve/core/calls.py
+++ b/mintvalve/core/calls.py
@@ -1,4 +1,4 @@
-"""A call, its attempts, and the words in which the core, the desk and the ports speak of them."""
+"""Calls and their attempts, events reported to the decision module, and commands returned by it."""
 
 from __future__ import annotations
 
@@ -13,21 +13,27 @@
 
 
 class CallState(Enum):
-    """Where a call is between its set-up and its end."""
+    """Where a call is between its set-up and its end. The values appear in logs."""
 
-    HELD = "held"  # taken, no attempt out
-    TRYING = "trying"  # one attempt out
-    STANDING = "standing"
-    OVER = "over"
+    HELD = "held"  # accepted, no attempt in progress
+    TRYING = "trying"  # one attempt in progress
+    STANDING = "standing"  # answered and not released
+    ENDED = "over"
 
 
 @dataclass(frozen=True, slots=True)
 class CallRequest:
-    """What a caller asks for. `identity` is the id by which callers and exchanges know the call."""
+    """What a caller asks for in its set-up.
+
+    `identity` is the id under which callers and exchanges know the call, `wait_ms` how long the caller waits
+    for an answer, `destination` the number of the destination exchange, `width` the circuits needed and
+    `tandem` the advised tandem (-1: none) or, in transit, the exchange that the call comes from. `was_cut`
+    marks the redial of a call that was cut. `description` is passed to the exchange unchanged.
+    """
 
     identity: int
     call_class: str
-    called: str
+    called_number: str
     wait_ms: float
     destination: int
     width: int = 1
@@ -39,7 +45,11 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One set-up sent for a call."""
+    """One set-up of a call, sent to `exchange`.
+
+    `index` counts the call's attempts from 0, `sent_at` is in Unix milliseconds, and `wait_ms` is the time
+    after which the attempt times out.
+    """
 
     call: Call
     index: int
@@ -51,26 +61,31 @@
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """A call taken by this controller, under its own number."""
+    """A call accepted by this controller.
 
-    number: int
+    `local_id` is this controller's own id for it, from 1. Times are Unix milliseconds: a final answer is due
+    by `deadline_at`, and no further attempt is allowed before `retry_allowed_at`. `attempt` is the attempt in
+    progress, or the answered one of a standing call.
+    """
+
+    local_id: int
     request: CallRequest
     caller: Caller
     accepted_at: float
     deadline_at: float
     state: CallState = CallState.HELD
     attempt: Attempt | None = None
-    attempts: int = 0
-    not_before: float = 0.0
+    attempt_count: int = 0
+    retry_allowed_at: float = 0.0
     deadline_timer: Timer | None = None
 
 
-# What the core tells the desk.
+# Events that the core reports to the decision module.
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptAnswered:
-    """An attempt was answered."""
+    """An attempt was answered; its call stands."""
 
     attempt: Attempt
     elapsed_ms: float
@@ -78,27 +93,31 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt is over; `ended` tells whether its call is too."""
+    """An attempt ended; `call_ended` tells whether its call ended with it.
+
+    `clearing_cause` is a `ClearingCause` (0: none), `back_off_ms` the time for which a full processor asks to
+    get no set-ups, and `report` the load that the exchange reported with the release.
+    """
 
     attempt: Attempt
     outcome: Outcome
     elapsed_ms: float
-    ended: bool
-    clearing: int = 0
-    pause_ms: float = 0.0
+    call_ended: bool
+    clearing_cause: int = 0
+    back_off_ms: float = 0.0
     report: LoadReport = field(default_factory=LoadReport)
 
 
 @dataclass(frozen=True, slots=True)
 class CallWithdrawn:
-    """The caller is gone, or was answered without the desk."""
+    """The caller left, or the core gave the final answer: the decision module need not give one any more."""
 
     call: Call
 
 
 @dataclass(frozen=True, slots=True)
 class GroupStateChanged:
-    """The state of the own trunk group towards an exchange."""
+    """An exchange reported the state of the trunk group between it and this controller's exchange."""
 
     exchange: str
     report: LoadReport
@@ -106,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExchangeListChanged:
-    """The list of exchanges, whole or in part."""
+    """The name server's list of exchanges changed; `kind` tells whether `exchanges` holds all or some."""
 
     kind: ListUpdateKind
     exchanges: tuple[Exchange, ...]
@@ -115,12 +134,12 @@
 CallEvent = AttemptAnswered | AttemptEnded | CallWithdrawn | GroupStateChanged | ExchangeListChanged
 
 
-# What the desk wants done.
+# Commands from the decision module to the core. `call` is the call's `local_id`.
 
 
 @dataclass(frozen=True, slots=True)
 class SendSetUp:
-    """Send the call's set-up to an exchange."""
+    """Send the call's set-up to an exchange; the attempt times out after `wait_ms`."""
 
     call: int
     exchange: str
@@ -129,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RefuseCall:
-    """Final answer: refused; the caller may come back after so long."""
+    """Refuse the call (final answer); the caller is asked not to redial for `retry_after_ms`."""
 
     call: int
     retry_after_ms: float
@@ -137,14 +156,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FailCall:
-    """Final answer: failed."""
+    """Fail the call (final answer)."""
 
     call: int
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Wait no longer for an attempt."""
+    """Cancel the call's attempt with the index `attempt`; the call is held again."""
 
     call: int
     attempt: int
--- a/mintvalve/core/nested_tables.py
+++ b/mintvalve/core/nested_tables.py
@@ -1,18 +1,20 @@
-"""Tables of tables that hold no empty ones."""
+"""Dictionaries of dictionaries without empty inner ones."""
 
 from __future__ import annotations
 
 from typing import Any, TypeVar
 
-K = TypeVar("K")
-N = TypeVar("N")
+OuterKey = TypeVar("OuterKey")
+InnerKey = TypeVar("InnerKey")
 
 
-def remove_nested(table: dict[K, dict[N, Any]], key: K, item: N) -> None:
-    """Remove an item of `table[key]`, and that table with its last one; harmless where it is not there.
-    Guards against one empty entry for every connection or host there ever was."""
-    there = table.get(key)
-    if there is not None:
-        there.pop(item, None)
-        if not there:
-            del table[key]
+def remove_nested(
+    table: dict[OuterKey, dict[InnerKey, Any]], outer_key: OuterKey, inner_key: InnerKey
+) -> None:
+    """Remove `table[outer_key][inner_key]`, and the inner dictionary once it is empty; a missing key has no
+    effect. Guards against a leak of one empty dictionary for each connection or host ever seen."""
+    inner = table.get(outer_key)
+    if inner is not None:
+        inner.pop(inner_key, None)
+        if not inner:
+            del table[outer_key]
--- a/mintvalve/core/ports.py
+++ b/mintvalve/core/ports.py
@@ -1,4 +1,4 @@
-"""What the core needs of the world: a desk that decides, callers, the exchanges' side, and deadlines."""
+"""Interfaces that the core depends on: decision module, callers, connections to exchanges, timers."""
 
 from __future__ import annotations
 
@@ -9,36 +9,55 @@
 
 
 class Timer(Protocol):
-    """A deadline that may be dropped."""
+    """A timer that was started."""
 
-    def cancel(self) -> None: ...
+    def cancel(self) -> None:
+        """Stop the timer; has no effect once it has expired."""
+        ...
 
 
 class Timers(Protocol):
-    """The clock (Unix milliseconds, never backwards) and all deadlines."""
+    """The clock and all timers."""
 
-    def now(self) -> float: ...
+    def now(self) -> float:
+        """The time in Unix milliseconds; it never runs backwards."""
+        ...
 
-    def call_later(self, ms: float, action: Callable[[], None]) -> Timer: ...
+    def call_later(self, delay_ms: float, action: Callable[[], None]) -> Timer:
+        """Start a timer that calls `action` once after `delay_ms`."""
+        ...
 
 
 class DecisionModule(Protocol):
-    """The decisions."""
+    """Decides where calls are set up and which are refused; each method returns the commands to execute."""
 
-    def pick(self, call: Call) -> list[Command]: ...
+    def pick(self, call: Call) -> list[Command]:
+        """Decide on a call that was just accepted; without a command the call is held."""
+        ...
 
-    def report(self, news: CallEvent) -> list[Command]: ...
+    def report(self, event: CallEvent) -> list[Command]:
+        """React to an event of the core."""
+        ...
 
-    def tick(self, token: int) -> list[Command]: ...
+    def tick(self, token: int) -> list[Command]:
+        """React to the expiry of the timer that the module set under `token`."""
+        ...
 
 
 class Caller(Protocol):
-    """A front, for one call: taken, then exactly one of answered, refused, failed and left; after an answer,
-    released once."""
+    """The caller of one call, as a front represents it.
+
+    First comes `on_accepted`, then exactly one of `on_answered`, `on_refused`, `on_failed` and
+    `on_withdrawn`, with any number of `on_progress` between them. While the program shuts down, a new call
+    gets `on_refused` alone. After `on_answered`, `on_released` comes at most once: not if the caller itself
+    releases the call.
+    """
 
     def on_accepted(self, call: Call) -> None: ...
 
-    def on_withdrawn(self, call: Call) -> None: ...
+    def on_withdrawn(self, call: Call) -> None:
+        """The caller gave the set-up up or its connection closed."""
+        ...
 
     def on_progress(self, call: Call) -> None: ...
 
@@ -48,14 +67,22 @@
 
     def on_failed(self, call: Call) -> None: ...
 
-    def on_released(self, call: Call, cut: bool) -> None: ...
+    def on_released(self, call: Call, cut: bool) -> None:
+        """A standing call ended; `cut` where it did not end by a normal release."""
+        ...
 
 
 class ExchangeConnections(Protocol):
-    """The way to the exchanges."""
+    """Sends the set-ups and releases of attempts to their exchanges."""
 
-    def set_up(self, attempt: Attempt) -> None: ...
+    def set_up(self, attempt: Attempt) -> None:
+        """Send the attempt's set-up."""
+        ...
 
-    def cancel_set_up(self, attempt: Attempt) -> None: ...
+    def cancel_set_up(self, attempt: Attempt) -> None:
+        """Release an attempt that has not been answered."""
+        ...
 
-    def release(self, attempt: Attempt) -> None: ...
+    def release(self, attempt: Attempt) -> None:
+        """Release a standing call."""
+        ...
--- a/mintvalve/core/reachability.py
+++ b/mintvalve/core/reachability.py
@@ -1,85 +1,90 @@
-"""Whether an exchange can be reached: the belief about one exchange, free of wires and of a clock of its own.
+"""Failure detection for one exchange: whether it is reachable. Uses neither sockets nor a clock.
 
-What proves it, and for which moment:
+What proves that the exchange is reachable, and for which moment:
 
-- a dial that came up, and one that was refused while a connection is open: for now. The other machine took
-  part;
-- a set-up that was answered, or refused for a reason that only a processor there can know: for the moment at
-  which the set-up left. Its machine was there then; how long the answer was under way is not known;
-- the end of a call that stood: for now, but only within `TALK_MS` of a moment already proven, as part of a
-  talk. Alone it may have been under way, or held somewhere, since before the way was cut.
+- a dial that succeeded, or one that was refused while another connection is open: for the present, since the
+  remote machine took part;
+- a set-up that was answered, or refused for a reason that only the remote processor can know: for the moment
+  at which the set-up was sent. The machine was reachable then; how long the answer was in transit is unknown;
+- the release of a standing call by the exchange (weak evidence): for the present, but only within
+  `WEAK_EVIDENCE_WINDOW_MS` of the last proof. A single release may have been in transit or buffered since
+  before a network partition.
 
-Nothing else does: a set-up that can't be read or used is turned away by whatever reads it, and a full group
-is known on this side. Seen on a day of bad clients and bad peers: a region was cut off for 9.5 s; what bad
-clients sent there went on being answered with faults within 1 ms, by connections open since before. Each of
-those answers vouched for 32 calls that stood there, and callers heard of ends after 9 s in place of 8.
+Nothing else is proof. Malformed or unusable set-ups are rejected with faults by whatever reads them, and a
+full trunk group is known on this side. While an exchange's region is partitioned, such faults keep arriving
+within 1 ms over connections opened earlier. Counted as proof, in a partition of 9.5 s, they made 32 calls
+there seem to stand, and callers were told of their ends after 9 s instead of 8 s.
 
-Callers must hear within 8 s of an end that nobody can tell of (PROTOCOL, the rules on sockets). The end may
-have come right after the last proof, so the time counts from there.
+Callers must be told within 8 s of the end of a call that nobody can report any more (PROTOCOL, the rules on
+sockets). The end may directly follow the last proof, so the time counts from there.
 """
 
 from __future__ import annotations
 
 from enum import Enum
 
-TALK_MS = 500.0  # ms; a word so long after the last proof is no part of a talk any more
-QUIET_MS = 1500.0  # ms; without a proof for so long, a dial is to find out
-LOST_MS = 6800.0  # ms; without a proof for so long, what stands there is over: of the 8 s, TALK_MS may have
-# passed in a talk with strays, and the look and the way to the caller need the rest
+WEAK_EVIDENCE_WINDOW_MS = 500.0
+SUSPECT_AFTER_MS = 1500.0  # without proof; from then on a dial is needed
+# Without proof. Of the 8 s, stray releases may have used up WEAK_EVIDENCE_WINDOW_MS, and the periodic check
+# and the message to the caller need the rest.
+UNREACHABLE_AFTER_MS = 6800.0
 
 
 class ReachabilityState(Enum):
-    """What is believed of an exchange."""
+    """What is assumed of an exchange."""
 
-    TALKING = "talking"  # proven of late
-    ASKING = "asking"  # a dial is to find out
-    LOST = "lost"  # out of reach for so long that nothing there is held to stand any more
+    REACHABLE = "reachable"
+    SUSPECT = "suspect"  # without proof for a while: a dial is to find out
+    UNREACHABLE = "unreachable"  # without proof for so long that its standing calls count as ended
 
 
 class Reachability:
-    """One exchange's. Every method takes the time in Unix milliseconds; it never runs backwards."""
+    """The reachability of one exchange. All times are Unix milliseconds that never run backwards."""
 
-    __slots__ = ("proven_at", "was_reset")
+    __slots__ = ("connection_was_reset", "last_proof_at")
 
     def __init__(self, now: float) -> None:
-        self.proven_at = now
-        self.was_reset = False  # a connection was, and whether the process is there is not known yet
+        self.last_proof_at = now  # the latest moment for which reachability is proven
+        self.connection_was_reset = False  # and no dial has shown since whether the process is alive
 
     def state(self, now: float) -> ReachabilityState:
-        silence = now - self.proven_at
-        if silence > LOST_MS:
-            return ReachabilityState.LOST
-        return ReachabilityState.ASKING if silence > QUIET_MS else ReachabilityState.TALKING
+        since_proof_ms = now - self.last_proof_at
+        if since_proof_ms > UNREACHABLE_AFTER_MS:
+            return ReachabilityState.UNREACHABLE
+        return ReachabilityState.SUSPECT if since_proof_ms > SUSPECT_AFTER_MS else ReachabilityState.REACHABLE
 
     def must_dial(self, now: float) -> bool:
-        """Only a dial can tell."""
-        return self.was_reset or self.state(now) is not ReachabilityState.TALKING
-
-    def came_up(self, now: float) -> None:
-        """A dial came up."""
-        self.proven_at, self.was_reset = max(self.proven_at, now), False
-
-    def refused(self, now: float, connected: bool) -> bool:
-        """A dial was refused; `connected` where another connection is open. True: the process died. A reset
-        followed by a refusal says so; a refusal alone says that its machine is there and takes no new
-        connections, as while it drains, and without any connection nobody could tell of an end."""
-        if self.was_reset:
-            self.was_reset = False
+        """Whether only a new dial can show if the exchange is reachable."""
+        return self.connection_was_reset or self.state(now) is not ReachabilityState.REACHABLE
+
+    def on_dial_succeeded(self, now: float) -> None:
+        self.last_proof_at, self.connection_was_reset = max(self.last_proof_at, now), False
+
+    def on_dial_refused(self, now: float, other_connection_open: bool) -> bool:
+        """Record a refused dial; return whether it means that the exchange's process died.
+
+        It does after a connection reset. A refusal alone means that the machine is up and accepts no new
+        connections, as while it drains. It is no proof without another open connection, since then nobody
+        could report the end of a call.
+        """
+        if self.connection_was_reset:
+            self.connection_was_reset = False
             return True
-        if connected:
-            self.proven_at = max(self.proven_at, now)
+        if other_connection_open:
+            self.last_proof_at = max(self.last_proof_at, now)
         return False
 
-    def reset(self) -> None:
-        """A connection was reset. That alone proves nothing: connections break under a process that lives."""
-        self.was_reset = True
+    def on_connection_reset(self) -> None:
+        """Record a reset. It alone does not show that the process died: live connections break, too."""
+        self.connection_was_reset = True
 
-    def answered(self, sent_at: float, now: float) -> None:
-        """A set-up that left at `sent_at` was answered."""
-        self.proven_at = max(self.proven_at, min(sent_at, now))
-        self.word(now)
+    def on_set_up_answered(self, sent_at: float, now: float) -> None:
+        """Record an answer, or a refusal by the remote processor, to a set-up that was sent at `sent_at`.
+        Close enough to the last proof it also proves the present."""
+        self.last_proof_at = max(self.last_proof_at, min(sent_at, now))
+        self.on_call_released(now)
 
-    def word(self, now: float) -> None:
-        """A call that stood was ended from there, on any connection."""
-        if now - self.proven_at <= TALK_MS:
-            self.proven_at = max(self.proven_at, now)
+    def on_call_released(self, now: float) -> None:
+        """Record that the exchange released a standing call, on any connection (weak evidence)."""
+        if now - self.last_proof_at <= WEAK_EVIDENCE_WINDOW_MS:
+            self.last_proof_at = max(self.last_proof_at, now)
--- a/mintvalve/core/release_delivery.py
+++ b/mintvalve/core/release_delivery.py
@@ -1,22 +1,25 @@
-"""Releases on their way to the other side: said, heard, said again by the next way that fits, given up.
-
-A call that is over must be told to whom it concerns, and a word written to a connection is not heard: it
-may be closing, or silent for good. This is the small protocol that tells the two apart, for callers and for
-exchanges alike. It is free of wires and clocks; a way is a connection, of which only the facts of `Way` are
-asked, and `Mouth` writes to it.
-
-A release is `OWED` until it has been said, then `SAID`. It ends
-
-- heard: the other side acknowledged it, on any way;
-- sure: it was said by a way of whom it is meant for, whose side does not acknowledge, the way is open
-  still, and has spoken since (so it works), `SURE_MS` after;
-- late: after `keep_ms`, or as the oldest of more than `most`.
-
-It is said again when the way by which it was said ends before that, when no acknowledgement comes within
-`ACK_MS` though that side sends them and another way fits, and, if it was said to another host for want of a
-better one, as soon as one of the right host opens: at most `MOST_SAYS` times. Seen on days of bad clients:
-releases were written to connections that were just closing, or to another caller's, and were taken for
-told.
+"""Delivery of releases: sent, acknowledged, sent again on another connection, given up at last.
+
+A call that ended must be released towards the party concerned, its owner (a caller, or an exchange). A
+release written to a connection is not delivered yet: the connection may be closing, or silent for good. This
+module tracks every release until it is delivered, towards callers and exchanges alike. It uses no socket and
+no clock: `ReleaseConnection` gives the state of a connection, and `ReleaseWriter` writes to it.
+
+A release is `QUEUED` until it is sent, then `SENT`. Its delivery ends, and is counted, as
+
+- heard: the other side acknowledged it, on any connection;
+- sure (implicit acknowledgement): `IMPLICIT_ACK_MS` after it was sent to its owner, on a connection whose
+  side does not acknowledge but that is still open and has received data since, so that it works;
+- late: not sent by the age of `max_age_ms`, or unsure: sent by then, without an acknowledgement;
+- crowded out: evicted as the oldest of more than `max_pending`;
+- replaced: a later release of the same call took its place;
+- any other reason given to `end_delivery`.
+
+A release is sent again when its connection closes before that; when no acknowledgement comes within
+`ACK_TIMEOUT_MS`, although the connection's side acknowledges or the connection is silent, and another
+connection is suitable; and, if it was sent to another host for lack of a better connection, as soon as one of
+its owner's host opens. It is sent `MAX_SENDS_PER_RELEASE` times at most. Guards against releases that are
+lost in connections which are just closing, or sent to another caller, but taken to be delivered.
 """
 
 from __future__ import annotations
@@ -28,288 +31,364 @@
 
 from mintvalve.core.nested_tables import remove_nested
 
-ACK_MS = 300.0  # ms; a side that acknowledges does so by then, else another way is tried
-SURE_MS = 1000.0  # ms; so long a way must have lasted after a release to a side that never acknowledges
-MEANT_MS = 500.0  # ms; then any way will do where no better one has come: callers must hear within 1 s
-LOOK_MS = 50.0  # ms between looks at these times, while anything is owed
-MOST_SAYS = 4  # times; then it waits for its end
-SLICE = 128  # releases said in one go; the rest waits for the next look, and the loop is not held
+ACK_TIMEOUT_MS = 300.0
+IMPLICIT_ACK_MS = 1000.0
+ANY_CONNECTION_AFTER_MS = 500.0  # then untrusted connections do as well: callers must be told within 1 s
+CHECK_INTERVAL_MS = 50.0  # between calls of `process_timeouts` while releases are pending
+MAX_SENDS_PER_RELEASE = 4
+MAX_SENDS_PER_PASS = 128  # the rest waits for the next pass, so that the event loop is not blocked
 
 
 class ReleaseConnection(Protocol):
-    """A connection, as far as releases are concerned; compared by identity."""
+    """A connection that can carry releases; compared by identity."""
 
     @property
-    def host(self) -> str: ...  # whose it is
+    def host(self) -> str:
+        """The remote host; empty if releases must not be matched by host."""
+        ...
 
     @property
     def is_open(self) -> bool: ...
 
     @property
-    def is_trusted(self) -> bool: ...  # somebody who means it is there: its call stood, or it acknowledged
+    def is_trusted(self) -> bool:
+        """Whether the remote side has proven to handle calls: one of its calls stood, or it acknowledged a
+        release."""
+        ...
 
     @property
-    def acknowledges(self) -> bool: ...  # it has done so before
+    def acknowledges(self) -> bool:
+        """Whether the remote side has acknowledged a release before."""
+        ...
 
     @property
-    def last_data_at(self) -> float: ...  # Unix ms, of the last bytes that came
+    def last_data_at(self) -> float:
+        """When data was last received, in Unix milliseconds."""
+        ...
 
 
-W = TypeVar("W", bound=ReleaseConnection)
-W_say = TypeVar("W_say", bound=ReleaseConnection, contravariant=True)
+ConnectionT = TypeVar("ConnectionT", bound=ReleaseConnection)
+ConnectionT_contra = TypeVar("ConnectionT_contra", bound=ReleaseConnection, contravariant=True)
 
 
-class ReleaseWriter(Protocol[W_say]):
-    """Whoever writes."""
+class ReleaseWriter(Protocol[ConnectionT_contra]):
+    """Writes releases to connections."""
 
-    def write_release(self, way: W_say, call: int, cause: int) -> bool:
-        """Write a release; False where the way is no longer open, or full."""
+    def write_release(self, connection: ConnectionT_contra, call: int, cause: int) -> bool:
+        """Write a release; False if the connection is not open or its buffer is full."""
         ...
 
 
 class ConnectionMatch(IntEnum):
-    """How well a way fits a release, the best first."""
+    """How suitable a connection is for a release; the lower, the better."""
 
-    HOME = 0  # the way of its set-up
-    HOST = 1  # of the same host
-    PROVEN = 2  # of another one, that knows calls
+    OWNER_CONNECTION = 0  # the one that carried the set-up, or on which the owner came back
+    OWNER_HOST = 1  # another one of the owner's host
+    TRUSTED = 2  # a trusted one of another host
     ANY = 3
-    NONE = 4
+    NONE = 4  # not suitable, or tried already
 
 
 class ReleaseStage(Enum):
-    OWED = "owed"
-    SAID = "said"
+    """Whether a release is still to be sent (again)."""
+
+    QUEUED = "queued"
+    SENT = "sent"
 
 
 @dataclass(slots=True, eq=False)
-class PendingRelease(Generic[W]):
-    """One call's release."""
+class PendingRelease(Generic[ConnectionT]):
+    """The release of one call that is not delivered yet. Times are Unix milliseconds."""
 
     call: int
     cause: int
-    home: W | None
-    host: str  # empty: nobody knows whose it is
-    since: float
-    stage: ReleaseStage = ReleaseStage.OWED
-    says: int = 0
-    said_at: float = 0.0
-    by: W | None = None  # the way by which it was said last
-    fit: ConnectionMatch = (
-        ConnectionMatch.NONE
-    )  # of the best way by which it was said and that did not end since
-    ever: bool = False  # it was said
-    used: tuple[W, ...] = ()
+    owner_connection: ConnectionT | None
+    owner_host: str  # empty: not known
+    enqueued_at: float
+    stage: ReleaseStage = ReleaseStage.QUEUED
+    send_count: int = 0
+    sent_at: float = 0.0
+    sent_on: ConnectionT | None = None  # the connection on which it was sent last
+    best_match: ConnectionMatch = ConnectionMatch.NONE  # of all sends since the last one that was lost
+    was_sent: bool = False  # at least once
+    connections_tried: tuple[ConnectionT, ...] = ()
 
     @property
-    def met(self) -> bool:
-        """Said to whom it is meant for, as far as that is known."""
-        return self.fit in (ConnectionMatch.HOME, ConnectionMatch.HOST) or (
-            not self.host and self.fit is ConnectionMatch.PROVEN
+    def reached_owner(self) -> bool:
+        """Whether it was sent to its owner; if that is not known, to a trusted connection."""
+        return self.best_match in (ConnectionMatch.OWNER_CONNECTION, ConnectionMatch.OWNER_HOST) or (
+            not self.owner_host and self.best_match is ConnectionMatch.TRUSTED
         )
 
 
-class ReleaseDelivery(Generic[W]):
-    """All releases owed to one side. `ends` counts how they ended. Without `strangers` a release goes to
-    nobody but its home and its own host."""
-
-    def __init__(self, mouth: ReleaseWriter[W], keep_ms: float, most: int, strangers: bool = True) -> None:
-        self.mouth, self.keep_ms, self.most, self.strangers = mouth, keep_ms, most, strangers
-        self.all: dict[int, PendingRelease[W]] = {}  # by call, the oldest first
-        self.owed: dict[int, PendingRelease[W]] = {}  # those not said
-        self.said: dict[int, PendingRelease[W]] = {}  # the others, in the order in which they were
-        self.by_host: dict[str, dict[int, PendingRelease[W]]] = {}
-        self.by_way: dict[W, dict[int, PendingRelease[W]]] = {}  # said by it last
-        self.ways: dict[W, None] = {}  # open, in the order in which they opened
-        self.ways_of: dict[str, dict[W, None]] = {}  # the same by host
-        self.good: dict[W, None] = {}  # those of them that are proven
-        self.ends: dict[str, int] = {}
-        self.left = 0  # that may still be said in this go
+class ReleaseDelivery(Generic[ConnectionT]):
+    """All pending releases towards the callers of a front, or towards one exchange.
+
+    A release is kept for `max_age_ms`, and at most `max_pending` are. Without `allow_other_hosts` a release
+    is sent only on its owner's connection and to its owner's host. `end_counts` counts the ends of deliveries
+    by their reason. `now` is in Unix milliseconds in all methods.
+    """
+
+    def __init__(
+        self,
+        writer: ReleaseWriter[ConnectionT],
+        max_age_ms: float,
+        max_pending: int,
+        allow_other_hosts: bool = True,
+    ) -> None:
+        self.writer, self.max_age_ms, self.max_pending, self.allow_other_hosts = (
+            writer,
+            max_age_ms,
+            max_pending,
+            allow_other_hosts,
+        )
+        self.by_call: dict[int, PendingRelease[ConnectionT]] = {}  # the oldest first
+        self.queued: dict[int, PendingRelease[ConnectionT]] = {}  # by call
+        self.sent: dict[int, PendingRelease[ConnectionT]] = {}  # by call, in the order of sending
+        self.by_owner_host: dict[str, dict[int, PendingRelease[ConnectionT]]] = {}
+        # By the connection on which they were sent last.
+        self.by_connection: dict[ConnectionT, dict[int, PendingRelease[ConnectionT]]] = {}
+        self.connections: dict[ConnectionT, None] = {}  # the open ones, in the order of opening
+        self.connections_by_host: dict[str, dict[ConnectionT, None]] = {}  # the same by host
+        self.trusted_connections: dict[ConnectionT, None] = {}  # the trusted among them
+        self.end_counts: dict[str, int] = {}
+        self.sends_left = 0  # in this pass
 
     def __len__(self) -> int:
-        return len(self.all)
+        return len(self.by_call)
 
     def __contains__(self, call: int) -> bool:
-        return call in self.all
-
-    # What happens.
-
-    def enqueue_release(self, call: int, cause: int, home: W | None, host: str, now: float) -> None:
-        """A call is over. What was owed for it before is replaced."""
-        self.end(call, "replaced")
-        release = PendingRelease(call, cause, home, host, now)
-        self.all[call] = self.owed[call] = release
-        self.by_host.setdefault(host, {})[call] = release
-        while len(self.all) > self.most:
-            self.end(next(iter(self.all)), "crowded out")
-        self.left = 1
-        if call in self.all:
-            self.tell(release, now)
-
-    def on_connection_opened(self, way: W, now: float) -> None:
-        """A connection came up: what is owed to its host goes out by it."""
-        self.ways[way] = None
-        self.ways_of.setdefault(way.host, {})[way] = None
-        self.left = SLICE
-        for release in list(self.by_host.get(way.host, {}).values()) if way.host else []:
-            # One said before is said again where it was not heard, or only by another host.
-            if release.stage is ReleaseStage.OWED or not release.met or self.unheard(release, now):
-                self.by(release, way, now)
-        if way.is_trusted:
-            self.on_connection_trusted(way, now)
-
-    def redirect(self, call: int, way: W, now: float) -> bool:
-        """Whom it is meant for has come back by this way; False where nothing is owed for the call."""
-        release = self.all.get(call)
+        return call in self.by_call
+
+    # Events.
+
+    def enqueue_release(
+        self, call: int, cause: int, owner_connection: ConnectionT | None, owner_host: str, now: float
+    ) -> None:
+        """Add the release of a call that ended and try to send it; replaces a pending one of the same call.
+        Beyond `max_pending` the oldest release is evicted."""
+        self.end_delivery(call, "replaced")
+        release = PendingRelease(call, cause, owner_connection, owner_host, now)
+        self.by_call[call] = self.queued[call] = release
+        self.by_owner_host.setdefault(owner_host, {})[call] = release
+        while len(self.by_call) > self.max_pending:
+            self.end_delivery(next(iter(self.by_call)), "crowded out")
+        self.sends_left = 1
+        if call in self.by_call:
+            self.send(release, now)
+
+    def on_connection_opened(self, connection: ConnectionT, now: float) -> None:
+        """Add a connection and send the pending releases of its host on it."""
+        self.connections[connection] = None
+        self.connections_by_host.setdefault(connection.host, {})[connection] = None
+        self.sends_left = MAX_SENDS_PER_PASS
+        for release in list(self.by_owner_host.get(connection.host, {}).values()) if connection.host else []:
+            # One that was sent is sent again if its acknowledgement is overdue, or only another host got it.
+            if (
+                release.stage is ReleaseStage.QUEUED
+                or not release.reached_owner
+                or self.is_ack_overdue(release, now)
+            ):
+                self.send_on(release, connection, now)
+        if connection.is_trusted:
+            self.on_connection_trusted(connection, now)
+
+    def redirect(self, call: int, connection: ConnectionT, now: float) -> bool:
+        """Send a call's release on the connection on which its owner came back; False if none is pending."""
+        release = self.by_call.get(call)
         if release is None:
             return False
-        release.home, release.used, release.says, self.left = way, (), 0, SLICE
-        self.by(release, way, now)
+        release.owner_connection, release.connections_tried, release.send_count, self.sends_left = (
+            connection,
+            (),
+            0,
+            MAX_SENDS_PER_PASS,
+        )
+        self.send_on(release, connection, now)
         return True
 
-    def on_connection_trusted(self, way: W, now: float) -> None:
-        """Somebody who means it is there: what found no other way may go by this one."""
-        self.good[way] = None
-        self.left = SLICE
-        for release in list(self.owed.values()):
-            if not self.left:
+    def on_connection_trusted(self, connection: ConnectionT, now: float) -> None:
+        """Record that a connection is trusted now, and send queued releases on it."""
+        self.trusted_connections[connection] = None
+        self.sends_left = MAX_SENDS_PER_PASS
+        for release in list(self.queued.values()):
+            if not self.sends_left:
                 break
-            self.by(release, way, now)
+            self.send_on(release, connection, now)
 
     def on_acknowledged(self, call: int) -> bool:
-        """The other side acknowledged it; False where nothing was said."""
-        release = self.all.get(call)
-        if release is None or not release.ever:
+        """A release was acknowledged; returns False if none of this call was sent."""
+        release = self.by_call.get(call)
+        if release is None or not release.was_sent:
             return False
-        if release.met or not release.host:
-            self.end(call, "heard")
-        else:  # by another host; its own is told, too, should it come
-            self.unplace(release)
-            release.stage, release.by = ReleaseStage.SAID, None
+        if release.reached_owner or not release.owner_host:
+            self.end_delivery(call, "heard")
+        else:  # by another host; the owner's host gets it as well once it connects
+            self.remove_from_stage(release)
+            release.stage, release.sent_on = ReleaseStage.SENT, None
         return True
 
-    def on_connection_closed(self, way: W, now: float) -> None:
-        """A connection is gone, and what was said by it may not have been heard."""
-        self.ways.pop(way, None)
-        self.good.pop(way, None)
-        remove_nested(self.ways_of, way.host, way)
-        lost = self.by_way.pop(way, {})
-        self.left = SLICE
-        for release in list(lost.values()):
-            self.said.pop(release.call, None)
-            release.stage, release.by, release.fit = ReleaseStage.OWED, None, ConnectionMatch.NONE
-            release.says -= 1  # in vain: that is no reason to say it less often to others
-            release.used = tuple(each for each in release.used if each is not way)
-            self.owed[release.call] = release
-            self.tell(release, now)
-
-    def look(self, now: float) -> None:
-        """What time brings: the end of a wait for an acknowledgement, of doubt, and of patience."""
-        while self.all:
-            release = next(iter(self.all.values()))
-            if now - release.since < self.keep_ms:
+    def on_connection_closed(self, connection: ConnectionT, now: float) -> None:
+        """Remove a connection. Releases that were sent on it last may be lost, and are queued again."""
+        self.connections.pop(connection, None)
+        self.trusted_connections.pop(connection, None)
+        remove_nested(self.connections_by_host, connection.host, connection)
+        unconfirmed = self.by_connection.pop(connection, {})
+        self.sends_left = MAX_SENDS_PER_PASS
+        for release in list(unconfirmed.values()):
+            self.sent.pop(release.call, None)
+            release.stage, release.sent_on, release.best_match = (
+                ReleaseStage.QUEUED,
+                None,
+                ConnectionMatch.NONE,
+            )
+            release.send_count -= 1  # a lost send does not count towards the limit
+            release.connections_tried = tuple(
+                tried for tried in release.connections_tried if tried is not connection
+            )
+            self.queued[release.call] = release
+            self.send(release, now)
+
+    def process_timeouts(self, now: float) -> None:
+        """End releases that are too old or implicitly acknowledged, and send the queued and overdue ones. To
+        be called every `CHECK_INTERVAL_MS` while releases are pending."""
+        while self.by_call:
+            release = next(iter(self.by_call.values()))
+            if now - release.enqueued_at < self.max_age_ms:
                 break
-            self.end(release.call, "late" if release.stage is ReleaseStage.OWED else "unsure")
-        self.left = SLICE
-        for release in list(self.said.values()):
-            if now - release.said_at < ACK_MS or not self.left:
+            self.end_delivery(release.call, "late" if release.stage is ReleaseStage.QUEUED else "unsure")
+        self.sends_left = MAX_SENDS_PER_PASS
+        for release in list(self.sent.values()):
+            if now - release.sent_at < ACK_TIMEOUT_MS or not self.sends_left:
                 break
-            way = release.by
-            works = way is not None and way.is_open and way.last_data_at > release.said_at
+            connection = release.sent_on
+            is_alive = (
+                connection is not None and connection.is_open and connection.last_data_at > release.sent_at
+            )
             if (
-                works
-                and way is not None
-                and not way.acknowledges
-                and release.met
-                and now - release.said_at >= SURE_MS
+                is_alive
+                and connection is not None
+                and not connection.acknowledges
+                and release.reached_owner
+                and now - release.sent_at >= IMPLICIT_ACK_MS
             ):
-                self.end(release.call, "sure")
-            elif self.unheard(release, now):
-                self.tell(release, now)
-        for release in list(self.owed.values()) if self.ways else ():
-            if not self.left:
+                self.end_delivery(release.call, "sure")
+            elif self.is_ack_overdue(release, now):
+                self.send(release, now)
+        for release in list(self.queued.values()) if self.connections else ():
+            if not self.sends_left:
                 break
-            self.tell(release, now)
-
-    # What is done.
-
-    def unheard(self, release: PendingRelease[W], now: float) -> bool:
-        """It was said some time ago, and nothing shows that it came through."""
-        way = release.by
-        if release.stage is not ReleaseStage.SAID or way is None or now - release.said_at < ACK_MS:
+            self.send(release, now)
+
+    # Internal.
+
+    def is_ack_overdue(self, release: PendingRelease[ConnectionT], now: float) -> bool:
+        """Whether the release was sent `ACK_TIMEOUT_MS` ago without a sign of its arrival: an acknowledgement
+        or, from a side that never acknowledges, data on the open connection."""
+        connection = release.sent_on
+        if (
+            release.stage is not ReleaseStage.SENT
+            or connection is None
+            or now - release.sent_at < ACK_TIMEOUT_MS
+        ):
             return False
-        return way.acknowledges or not way.is_open or way.last_data_at <= release.said_at
+        return connection.acknowledges or not connection.is_open or connection.last_data_at <= release.sent_at
 
-    def fits(self, release: PendingRelease[W], way: W, now: float) -> ConnectionMatch:
-        if way in release.used or not way.is_open:
+    def match_connection(
+        self, release: PendingRelease[ConnectionT], connection: ConnectionT, now: float
+    ) -> ConnectionMatch:
+        """How suitable the connection is for the release now."""
+        if connection in release.connections_tried or not connection.is_open:
             return ConnectionMatch.NONE
-        if way is release.home:
-            return ConnectionMatch.HOME
-        if release.host and way.host == release.host:
-            return ConnectionMatch.HOST
-        if not self.strangers:
+        if connection is release.owner_connection:
+            return ConnectionMatch.OWNER_CONNECTION
+        if release.owner_host and connection.host == release.owner_host:
+            return ConnectionMatch.OWNER_HOST
+        if not self.allow_other_hosts:
             return ConnectionMatch.NONE
-        if way.is_trusted:
-            return ConnectionMatch.PROVEN
-        return ConnectionMatch.ANY if now - release.since >= MEANT_MS else ConnectionMatch.NONE
+        if connection.is_trusted:
+            return ConnectionMatch.TRUSTED
+        return (
+            ConnectionMatch.ANY
+            if now - release.enqueued_at >= ANY_CONNECTION_AFTER_MS
+            else ConnectionMatch.NONE
+        )
 
-    def tell(self, release: PendingRelease[W], now: float) -> None:
-        """By the way that fits best, if any; one said to whom it is meant for only to the same again."""
-        if release.says >= MOST_SAYS or not self.left:
+    def send(self, release: PendingRelease[ConnectionT], now: float) -> None:
+        """Send the release on the most suitable connection, if there is any. One that was sent to its owner
+        is repeated to its owner only."""
+        if release.send_count >= MAX_SENDS_PER_RELEASE or not self.sends_left:
             return
-        again = release.stage is ReleaseStage.SAID and release.met
-        tries = 0
-        for way in self.candidates(release, now, again):
-            if self.fits(release, way, now) is not ConnectionMatch.NONE:
-                if self.by(release, way, now):
+        owner_only = release.stage is ReleaseStage.SENT and release.reached_owner
+        failed_writes = 0
+        for connection in self.candidates(release, now, owner_only):
+            if self.match_connection(release, connection, now) is not ConnectionMatch.NONE:
+                if self.send_on(release, connection, now):
                     return
-                tries += 1  # it is full, or has just ended
-                if tries >= MOST_SAYS:
+                failed_writes += 1  # the connection is full, or has just closed
+                if failed_writes >= MAX_SENDS_PER_RELEASE:
                     return
 
-    def candidates(self, release: PendingRelease[W], now: float, near: bool) -> Iterator[W]:
-        """Ways, those that fit best first, the newest of a kind first; with `near` those of its own host."""
-        if release.home is not None:
-            yield release.home
-        if release.host:
-            yield from reversed(self.ways_of.get(release.host, {}))
-        if not near and self.strangers:
-            yield from reversed(self.good)
-            if now - release.since >= MEANT_MS:
-                yield from reversed(self.ways)
-
-    def by(self, release: PendingRelease[W], way: W, now: float) -> bool:
-        """Say it by this way, if it fits."""
-        fit = self.fits(release, way, now)
-        if fit is ConnectionMatch.NONE or release.says >= MOST_SAYS or not self.left:
+    def candidates(
+        self, release: PendingRelease[ConnectionT], now: float, owner_only: bool
+    ) -> Iterator[ConnectionT]:
+        """Connections in the order of their suitability, the newest of each kind first; with `owner_only`
+        those of the owner alone."""
+        if release.owner_connection is not None:
+            yield release.owner_connection
+        if release.owner_host:
+            yield from reversed(self.connections_by_host.get(release.owner_host, {}))
+        if not owner_only and self.allow_other_hosts:
+            yield from reversed(self.trusted_connections)
+            if now - release.enqueued_at >= ANY_CONNECTION_AFTER_MS:
+                yield from reversed(self.connections)
+
+    def send_on(self, release: PendingRelease[ConnectionT], connection: ConnectionT, now: float) -> bool:
+        """Send the release on this connection; False if it is unsuitable, a limit is reached or the write
+        fails."""
+        match = self.match_connection(release, connection, now)
+        if (
+            match is ConnectionMatch.NONE
+            or release.send_count >= MAX_SENDS_PER_RELEASE
+            or not self.sends_left
+        ):
             return False
-        if not self.mouth.write_release(way, release.call, release.cause):
+        if not self.writer.write_release(connection, release.call, release.cause):
             return False
-        self.left -= 1
-        self.unplace(release)
-        release.says += 1
-        release.stage, release.said_at, release.by, release.ever = ReleaseStage.SAID, now, way, True
-        release.fit = min(fit, release.fit)
-        release.used = (*release.used, way)
-        self.said[release.call] = release
-        self.by_way.setdefault(way, {})[release.call] = release
+        self.sends_left -= 1
+        self.remove_from_stage(release)
+        release.send_count += 1
+        release.stage, release.sent_at, release.sent_on, release.was_sent = (
+            ReleaseStage.SENT,
+            now,
+            connection,
+            True,
+        )
+        release.best_match = min(match, release.best_match)
+        release.connections_tried = (*release.connections_tried, connection)
+        self.sent[release.call] = release
+        self.by_connection.setdefault(connection, {})[release.call] = release
         return True
 
-    def unplace(self, release: PendingRelease[W]) -> None:
-        self.owed.pop(release.call, None)
-        self.said.pop(release.call, None)
-        if release.by is not None:
-            remove_nested(self.by_way, release.by, release.call)
+    def remove_from_stage(self, release: PendingRelease[ConnectionT]) -> None:
+        """Remove the release from the tables of its stage and of its connection."""
+        self.queued.pop(release.call, None)
+        self.sent.pop(release.call, None)
+        if release.sent_on is not None:
+            remove_nested(self.by_connection, release.sent_on, release.call)
 
-    def end(self, call: int, how: str) -> None:
-        release = self.all.pop(call, None)
+    def end_delivery(self, call: int, reason: str) -> None:
+        """Remove and count the pending release of a call, if there is one; `reason` is the counter's name."""
+        release = self.by_call.pop(call, None)
         if release is None:
             return
-        self.ends[how] = self.ends.get(how, 0) + 1
-        self.unplace(release)
-        remove_nested(self.by_host, release.host, call)
+        self.end_counts[reason] = self.end_counts.get(reason, 0) + 1
+        self.remove_from_stage(release)
+        remove_nested(self.by_owner_host, release.owner_host, call)
 
     def has_deliverable(self) -> bool:
-        """Something was said and its acknowledgement may be under way, or may still be said."""
-        waits = (each.by for each in self.said.values())
-        return bool(self.owed and self.ways) or any(by and by.is_open and by.acknowledges for by in waits)
+        """Whether a release can still be sent, or an acknowledgement may still arrive."""
+        awaiting_ack = (release.sent_on for release in self.sent.values())
+        return bool(self.queued and self.connections) or any(
+            connection and connection.is_open and connection.acknowledges for connection in awaiting_ack
+        )
--- a/mintvalve/core/rules.py
+++ b/mintvalve/core/rules.py
@@ -1,4 +1,4 @@
-"""The rules that bind every set-up, whatever the desk decided: the last look before one leaves."""
+"""Rules that every call request and every set-up must satisfy, whatever the decision module decides."""
 
 from __future__ import annotations
 
@@ -7,54 +7,63 @@
 from mintvalve.core.calls import Call, CallState, CallRequest
 from mintvalve.interface import Exchange, Outcome, Settings, ExchangeState
 
-SLACK_MS = 50.0  # ms; on sockets every time limit is that much longer
-MARGIN_MS = 15.0  # ms; a call is answered so long before its caller gives up: the way back takes time, too
-WIDEST = 64  # circuits; no call takes more
-LONGEST_WAIT_MS = 600_000.0  # ms; no caller waits longer
-MUST_WAIT = frozenset({Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED})
+TIME_LIMIT_SLACK_MS = 50.0  # added to the configured time limits when the controller runs on sockets
+ANSWER_MARGIN_MS = (
+    15.0  # final answers are sent this long before the caller gives up: they take time to arrive
+)
+MAX_WIDTH_CIRCUITS = 64
+MAX_WAIT_MS = 600_000.0
+# After these outcomes the exchange may still hold circuits for the attempt.
+RELEASE_WAIT_OUTCOMES = frozenset({Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED})
 
 
 @dataclass(frozen=True, slots=True)
 class SetUpRules:
-    """The figures of the rules, and the checks."""
+    """The limits of the rules and the checks against them.
 
-    home: int
+    `home_cell` is the number of the own exchange, and `release_wait_ms` the time for which a call must not be
+    tried again after an outcome in `RELEASE_WAIT_OUTCOMES`.
+    """
+
+    home_cell: int
     max_attempts: int
     release_wait_ms: float
-    cells: int = 0  # exchanges are numbered below this; 0: not known
+    cell_count: int = 0  # exchanges are numbered from 0 to below this; 0: not known
 
     @classmethod
-    def of(cls, settings: Settings) -> SetUpRules:
-        cells = 0 if settings.pool_topology else settings.proxies
-        return cls(settings.home, settings.max_attempts, settings.release_wait_ms, cells)
+    def from_settings(cls, settings: Settings) -> SetUpRules:
+        cell_count = 0 if settings.pool_topology else settings.proxies
+        return cls(settings.home, settings.max_attempts, settings.release_wait_ms, cell_count)
 
-    def out_of_range(self, request: CallRequest) -> str:
-        """What no call can ask for; empty where all is well. Guards the desk and the exchanges against
-        figures that mean nothing: a width below 1 would even add to the circuits believed free."""
+    def find_request_fault(self, request: CallRequest) -> str:
+        """Describe the first value of the request that is out of range; empty if there is none. Guards the
+        decision module and the exchanges against meaningless values: a width below 1 would even add to the
+        circuits taken to be free."""
         if request.identity == 0:
-            return "a call needs an id"
-        if not 1 <= request.width <= WIDEST:
-            return f"a call takes 1 to {WIDEST} circuits"
-        if request.destination < 0 or 0 < self.cells <= request.destination:
-            return "no exchange has this number"
-        if request.wait_ms > LONGEST_WAIT_MS:
-            return "no caller waits so long"
+            return "id must not be 0"
+        if not 1 <= request.width <= MAX_WIDTH_CIRCUITS:
+            return f"width must be 1 to {MAX_WIDTH_CIRCUITS} circuits, got {request.width}"
+        if request.destination < 0 or 0 < self.cell_count <= request.destination:
+            return f"no exchange has the number {request.destination}"
+        if request.wait_ms > MAX_WAIT_MS:
+            return f"wait must be at most {MAX_WAIT_MS:.0f} ms, got {request.wait_ms:.0f} ms"
         return ""
 
-    def broken_by(self, call: Call, exchange: Exchange | None, now: float) -> str:
-        """The rule that a set-up of this call to this exchange would break; empty where none."""
+    def find_violation(self, call: Call, exchange: Exchange | None, now: float) -> str:
+        """Describe the first rule that a set-up of this call to this exchange would break at `now` (Unix
+        milliseconds); empty if there is none. `exchange` is None if it is not on the list."""
         if call.state is not CallState.HELD or call.attempt is not None:
-            return f"the call is {call.state.value}"
-        if call.attempts >= self.max_attempts:
-            return "the call has had all its attempts"
-        if now < call.not_before:
-            return "what the last attempt held may still be taken"
+            return f"the call is not held but {call.state.value}"
+        if call.attempt_count >= self.max_attempts:
+            return f"the call has used all its {self.max_attempts} attempts"
+        if now < call.retry_allowed_at:
+            return "circuits of the last attempt may not be released yet"
         if now >= call.deadline_at:
-            return "the caller has given up"
+            return "the deadline of the call has passed"
         if exchange is None or exchange.state is not ExchangeState.READY:
-            return "the exchange drains or is gone"
-        if exchange.cell == self.home:
-            return "a call never goes to the own exchange"
+            return "the exchange is draining or gone"
+        if exchange.cell == self.home_cell:
+            return "the exchange is the own one"
         if call.request.in_transit and exchange.cell != call.request.destination:
-            return "a call in transit goes to its destination only"
+            return "a call in transit must go directly to its destination"
         return ""
--- a/mintvalve/facade.py
+++ b/mintvalve/facade.py
@@ -54,9 +54,9 @@
         request = call.request
         return self.dispatch(
             interface.CallOffered(
-                call.number,
+                call.local_id,
                 request.call_class,
-                request.called,
+                request.called_number,
                 call.deadline_at,
                 request.destination,
                 request.width,
@@ -64,7 +64,7 @@
                 request.in_transit,
                 was_cut=request.was_cut,
             ),
-            call.number,
+            call.local_id,
         )
 
     def report(self, event: CallEvent) -> list[Command]:
@@ -74,12 +74,12 @@
         """
         match event:
             case AttemptAnswered(attempt, elapsed_ms):
-                call_number = attempt.call.number
+                call_number = attempt.call.local_id
                 return self.dispatch(
                     interface.CallAnswered(call_number, attempt.index, attempt.exchange, elapsed_ms)
                 )
             case AttemptEnded(attempt, outcome, elapsed_ms, ended, clearing_cause, pause_ms, load_report):
-                call_number = attempt.call.number
+                call_number = attempt.call.local_id
                 return self.dispatch(
                     interface.AttemptEnded(
                         call_number,
@@ -95,7 +95,7 @@
                     None if ended else call_number,
                 )
             case CallWithdrawn(call):
-                return self.dispatch(interface.CallerLeft(call.number))
+                return self.dispatch(interface.CallerLeft(call.local_id))
             case GroupStateChanged(exchange, load_report):
                 return self.dispatch(interface.LoadReported(exchange, True, False, load_report))
             case ExchangeListChanged(kind, exchanges):
--- a/mintvalve/net/binary_front.py
+++ b/mintvalve/net/binary_front.py
@@ -91,7 +91,7 @@
     return CallRequest(
         identity=message.call_id,
         call_class=message.text(ParameterCode.CALL_CLASS),
-        called=message.text(ParameterCode.CALLED_NUMBER),
+        called_number=message.text(ParameterCode.CALLED_NUMBER),
         wait_ms=float(message.integer(ParameterCode.WAIT_MS, 0)),
         destination=destination,
         width=width,
@@ -274,16 +274,16 @@
         self.front, self.session = front, session
 
     def on_accepted(self, call: Call) -> None:
-        self.session.unanswered_calls[call.number] = call
+        self.session.unanswered_calls[call.local_id] = call
 
     def on_withdrawn(self, call: Call) -> None:
-        self.session.unanswered_calls.pop(call.number, None)
+        self.session.unanswered_calls.pop(call.local_id, None)
 
     def on_progress(self, call: Call) -> None:
         self.session.send(encode(Message(MessageType.PROGRESS, call.request.identity)))
 
     def on_answered(self, call: Call, description: bytes | None) -> None:
-        self.session.unanswered_calls.pop(call.number, None)
+        self.session.unanswered_calls.pop(call.local_id, None)
         self.session.standing_calls += 1
         was_trusted, self.session.has_answered_call = self.session.is_trusted, True
         parameters: dict[int, bytes] = {} if description is None else {ParameterCode.DESCRIPTION: description}
@@ -300,7 +300,7 @@
 
     def end_set_up(self, call: Call, cause: int) -> None:
         """Ends an unanswered call with a release."""
-        self.session.unanswered_calls.pop(call.number, None)
+        self.session.unanswered_calls.pop(call.local_id, None)
         self.session.send(encode_release(call.request.identity, cause))
 
     def on_released(self, call: Call, cut: bool) -> None:
--- a/mintvalve/net/exchange_links.py
+++ b/mintvalve/net/exchange_links.py
@@ -161,7 +161,7 @@
             self.current_connection is not None
             and now - self.current_connection.connection.created_at < MIN_REPLACEMENT_INTERVAL_MS
         )
-        must_replace = self.reachability.was_reset or (
+        must_replace = self.reachability.connection_was_reset or (
             not is_recent and (self.reachability.must_dial(now) or self.is_current_unresponsive())
         )
         if self.current_connection is None or must_replace:
@@ -181,11 +181,11 @@
             return
         self.loop.call_later(CHECK_INTERVAL_MS, self.run_periodic_check)
         self.dial_if_needed()
-        if self.reachability.state(self.loop.now()) is ReachabilityState.LOST:
+        if self.reachability.state(self.loop.now()) is ReachabilityState.UNREACHABLE:
             self.exchange_links.call_manager.cut_calls(self.name, math.inf)
         at_connection_limit = len(self.connections) >= MAX_CONNECTIONS_PER_EXCHANGE
         for exchange_connection in list(self.connections.values()):
-            if exchange_connection is not self.current_connection and not self.attempts.needs(
+            if exchange_connection is not self.current_connection and not self.attempts.is_needed(
                 exchange_connection, at_connection_limit
             ):
                 exchange_connection.connection.close_after_flush()
@@ -194,11 +194,11 @@
         """A dial succeeded: use the new connection, and send the set-ups and releases that wait."""
         now = self.loop.now()
         self.dialling_connection, self.dial_back_off_ms = None, 0.0
-        self.reachability.came_up(now)
+        self.reachability.on_dial_succeeded(now)
         exchange_connection = self.connections[connection] = ExchangeConnection(connection, self.name)
         self.current_connection = exchange_connection
         self.releases.on_connection_opened(exchange_connection)
-        for outstanding in self.attempts.waiting():
+        for outstanding in self.attempts.set_ups_without_connection():
             self.write_set_up(outstanding, exchange_connection)
 
     def on_closed(self, connection: Connection, reason: str) -> None:
@@ -206,12 +206,12 @@
         if connection is self.dialling_connection:
             self.dialling_connection = None
             log.debug("dial to exchange failed", extra={"exchange": self.name, "reason": reason})
-            if connection.was_refused and self.reachability.refused(
+            if connection.was_refused and self.reachability.on_dial_refused(
                 self.loop.now(), self.current_connection is not None
             ):
                 self.on_exchange_process_died()
             if self.current_connection is None:
-                self.end_lost_attempts(self.attempts.waiting(), None)
+                self.end_lost_attempts(self.attempts.set_ups_without_connection(), None)
         exchange_connection = self.connections.pop(connection, None)
         if exchange_connection is not None:
             level = logging.DEBUG if reason == "closed after flush" else logging.INFO
@@ -220,10 +220,10 @@
                 self.current_connection = next(
                     (candidate for candidate in self.connections.values() if candidate.is_open), None
                 )
-            self.end_lost_attempts(self.attempts.lost_with(exchange_connection), exchange_connection)
+            self.end_lost_attempts(self.attempts.remove_connection(exchange_connection), exchange_connection)
             self.releases.on_connection_closed(exchange_connection)
             if connection.was_reset and not self.is_closed:
-                self.reachability.reset()
+                self.reachability.on_connection_reset()
         self.dial_if_needed()
 
     def end_lost_attempts(
@@ -241,7 +241,7 @@
             self.attempts.pop(identity)
             was_sent = (
                 exchange_connection is not None
-                and exchange_connection.connection.bytes_written > outstanding.start
+                and exchange_connection.connection.bytes_written > outstanding.bytes_queued_before
             )
             if was_sent and not self.is_closed:
                 self.exchange_links.ended_calls.add(identity)
@@ -257,7 +257,7 @@
         calls on newer connections belong to a newer process and are kept. A reset alone proves nothing: when
         it counted, some 340 live calls were released.
         """
-        for outstanding in self.attempts.grounded():
+        for outstanding in self.attempts.standing_without_connection():
             self.attempts.pop(outstanding.identity)
             self.exchange_links.call_manager.on_attempt_ended(outstanding.attempt, Outcome.RESET)
 
@@ -278,8 +278,8 @@
 
         A connection on which an answer to an earlier attempt of the call may still arrive is not used.
         """
-        outstanding = self.attempts.begin(attempt)
-        usable_connections = self.attempts.fit(
+        outstanding = self.attempts.add(attempt)
+        usable_connections = self.attempts.without_late_answers(
             outstanding.identity, [candidate for candidate in self.connections.values() if candidate.is_open]
         )
         if self.current_connection is not None and self.current_connection in usable_connections:
@@ -300,9 +300,9 @@
         Standing calls are kept: one whose connection was established and closed meanwhile has none either.
         """
         if (
-            self.attempts.all.get(outstanding.identity) is outstanding
-            and outstanding.way is None
-            and outstanding.trying
+            self.attempts.by_identity.get(outstanding.identity) is outstanding
+            and outstanding.connection is None
+            and outstanding.is_trying
         ):
             self.end_lost_attempts([outstanding], None)
 
@@ -318,13 +318,13 @@
             {
                 ParameterCode.CALL_CLASS: request.call_class.encode(),
                 ParameterCode.WAIT_MS: str(max(1, int(remaining_ms))).encode(),
-                ParameterCode.CALLED_NUMBER: request.called.encode(),
+                ParameterCode.CALLED_NUMBER: request.called_number.encode(),
             },
         )
         if request.description is not None:
             message.parameters[ParameterCode.DESCRIPTION] = request.description
         self.releases.discard(request.identity)  # a repeated release of an earlier attempt would end this one
-        self.attempts.leaves(
+        self.attempts.bind(
             outstanding,
             exchange_connection,
             exchange_connection.connection.bytes_queued,
@@ -335,7 +335,7 @@
 
     def on_set_up_not_written(self, outstanding: OutstandingAttempt[ExchangeConnection]) -> None:
         """End a set-up that no connection could take: full, just closed, or all of them excluded."""
-        if self.attempts.all.get(outstanding.identity) is outstanding and outstanding.trying:
+        if self.attempts.by_identity.get(outstanding.identity) is outstanding and outstanding.is_trying:
             self.end_lost_attempts([outstanding], None)
 
     def end_attempt(self, attempt: Attempt, is_standing: bool) -> None:
@@ -349,11 +349,11 @@
         if outstanding is None:
             return
         self.exchange_links.ended_calls.add(identity)
-        if not is_standing and outstanding.way is None:
+        if not is_standing and outstanding.connection is None:
             return
-        if not is_standing and outstanding.way is not None:
-            self.attempts.taint(identity, outstanding.way)
-        self.enqueue_release(identity, outstanding.way)
+        if not is_standing and outstanding.connection is not None:
+            self.attempts.expect_late_answer(identity, outstanding.connection)
+        self.enqueue_release(identity, outstanding.connection)
 
     def enqueue_release(self, identity: int, exchange_connection: ExchangeConnection | None) -> None:
         """Release a call at the exchange; repeated until delivered, first on the given connection."""
@@ -413,7 +413,7 @@
         Messages that belong to an earlier attempt of a call that is being set up are ignored.
         """
         call_manager = self.exchange_links.call_manager
-        outstanding, is_stale = self.attempts.meant(
+        outstanding, is_stale = self.attempts.match_message(
             message.call_id, exchange_connection, exchange_connection.read_count
         )
         if is_stale and message.message_type == MessageType.RELEASE:
@@ -426,7 +426,7 @@
                     f"release of call {message.call_id:016x} has unknown cause {message.cause}"
                 )
             case MessageType.ANSWER if outstanding is not None:
-                self.reachability.answered(outstanding.attempt.sent_at, self.loop.now())
+                self.reachability.on_set_up_answered(outstanding.attempt.sent_at, self.loop.now())
                 call_manager.on_answer(outstanding.attempt, message.parameters[ParameterCode.DESCRIPTION])
             case MessageType.RELEASE:
                 self.on_release(exchange_connection, message, outstanding)
@@ -475,8 +475,8 @@
         back_off_ms = float(max(message.integer(ParameterCode.PAUSE_MS, 0), 0))
         self.attempts.pop(message.call_id)  # the message has been parsed; nothing below raises ProtocolError
         self.exchange_links.ended_calls.add(message.call_id)
-        if outstanding.standing:
-            self.reachability.word(self.loop.now())
+        if outstanding.is_standing:
+            self.reachability.on_call_released(self.loop.now())
             exchange_connection.connection.send(
                 encode(Message(MessageType.RELEASE_COMPLETE, message.call_id))
             )
@@ -484,9 +484,11 @@
         else:
             outcome = OUTCOME_BY_CAUSE.get(message.cause, Outcome.RESET)
             if note in NOTES_PROVING_REACHABILITY:
-                self.reachability.answered(outstanding.attempt.sent_at, self.loop.now())
+                self.reachability.on_set_up_answered(outstanding.attempt.sent_at, self.loop.now())
             if outcome is Outcome.RESET:
-                self.attempts.taint(message.call_id, exchange_connection)  # a late answer may still follow
+                self.attempts.expect_late_answer(
+                    message.call_id, exchange_connection
+                )  # a late answer may still follow
         self.exchange_links.call_manager.on_attempt_ended(
             outstanding.attempt,
             outcome,
--- a/mintvalve/net/release_scheduler.py
+++ b/mintvalve/net/release_scheduler.py
@@ -4,7 +4,12 @@
 
 from typing import Generic, TypeVar
 
-from mintvalve.core.release_delivery import LOOK_MS, ReleaseDelivery, ReleaseWriter, ReleaseConnection
+from mintvalve.core.release_delivery import (
+    CHECK_INTERVAL_MS,
+    ReleaseDelivery,
+    ReleaseWriter,
+    ReleaseConnection,
+)
 from mintvalve.net.loop import Loop
 
 W = TypeVar("W", bound=ReleaseConnection)
@@ -70,7 +75,7 @@
 
     def discard(self, call: int) -> None:
         """Drop the pending release of a call, because the peer has released it too or sets it up again."""
-        self.delivery.end(call, "crossed")
+        self.delivery.end_delivery(call, "crossed")
 
     def has_deliverable(self) -> bool:
         """Whether a release is still unsent or unacknowledged and a connection could still carry it."""
@@ -84,12 +89,12 @@
         """Run the time-outs after LOOK_MS, unless that is scheduled already."""
         if not self.is_scheduled and not self.is_stopped:
             self.is_scheduled = True
-            self.loop.call_later(LOOK_MS, self.look)
+            self.loop.call_later(CHECK_INTERVAL_MS, self.process_timeouts)
 
-    def look(self) -> None:
+    def process_timeouts(self) -> None:
         """Run the time-outs of the delivery, and schedule the next run while releases are pending."""
         self.is_scheduled = False
         if not self.is_stopped:
-            self.delivery.look(self.loop.now())
+            self.delivery.process_timeouts(self.loop.now())
             if self.delivery:
                 self.schedule_timeouts()
--- a/mintvalve/net/websocket_front.py
+++ b/mintvalve/net/websocket_front.py
@@ -144,7 +144,7 @@
     return CallRequest(
         identity=parse_call_id(message),
         call_class=call_class,
-        called=called,
+        called_number=called,
         wait_ms=float(integer_field(message, "wait_ms", 1, MAX_WAIT_MS)),
         destination=integer_field(message, "destination", 0, 1_000_000),
         width=integer_field(message, "width", 1, 1024, 1),
@@ -463,7 +463,7 @@
             self.releases.discard(call_id)
             return
         caller = self.callers.get(call_id)
-        if caller is None or caller.call is None or caller.call.state is CallState.OVER:
+        if caller is None or caller.call is None or caller.call.state is CallState.ENDED:
             raise MessageRejected("unknown_call", "no call with this id is open on this front")
         self.call_manager.on_caller_release(caller.call)
         self.remove_caller(caller)
@@ -498,21 +498,21 @@
 
     def on_accepted(self, call: Call) -> None:
         self.call = call
-        self.session.unanswered_calls[call.number] = call
+        self.session.unanswered_calls[call.local_id] = call
         self.front.callers[call.request.identity] = self
 
     def on_withdrawn(self, call: Call) -> None:
         self.discard_call(call)
 
     def discard_call(self, call: Call) -> None:
-        self.session.unanswered_calls.pop(call.number, None)
+        self.session.unanswered_calls.pop(call.local_id, None)
         self.front.remove_caller(self)
 
     def on_progress(self, call: Call) -> None:
         self.front.send_message(self.session, "progress", call.request.identity)
 
     def on_answered(self, call: Call, description: bytes | None) -> None:
-        self.session.unanswered_calls.pop(call.number, None)
+        self.session.unanswered_calls.pop(call.local_id, None)
         self.description = description
         self.send_answer()
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -78,17 +78,21 @@
         self.delayed_calls: dict[int, Call] = {}  # by call number, while they wait for another attempt
 
     def pick(self, call: Call) -> list[Command]:
-        return [SendSetUp(call.number, f"x{call.request.destination}", self.wait_ms)]
+        return [SendSetUp(call.local_id, f"x{call.request.destination}", self.wait_ms)]
 
     def report(self, event: CallEvent) -> list[Command]:
         self.events.append(event)
-        if isinstance(event, AttemptEnded) and not event.ended:
+        if isinstance(event, AttemptEnded) and not event.call_ended:
             call = event.attempt.call
-            if call.attempts < self.max_attempts and self.retry_delay_ms:
-                self.delayed_calls[call.number] = call
-                self.set_timer(self.retry_delay_ms, call.number)
+            if call.attempt_count < self.max_attempts and self.retry_delay_ms:
+                self.delayed_calls[call.local_id] = call
+                self.set_timer(self.retry_delay_ms, call.local_id)
                 return []
-            return self.pick(call) if call.attempts < self.max_attempts else [RefuseCall(call.number, 750.0)]
+            return (
+                self.pick(call)
+                if call.attempt_count < self.max_attempts
+                else [RefuseCall(call.local_id, 750.0)]
+            )
         return []
 
     def tick(self, token: int) -> list[Command]:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -67,7 +67,7 @@
     )
     assert lifecycle.phase is Phase.STARTING
     board = lifecycle.switchboard
-    assert (board.rules.home, board.rules.max_attempts, len(board.exchanges)) == (2, 4, 3)
+    assert (board.rules.home_cell, board.rules.max_attempts, len(board.exchanges)) == (2, 4, 3)
     lifecycle.loop.close()
 
 
--- a/tests/test_exchange_links.py
+++ b/tests/test_exchange_links.py
@@ -303,9 +303,9 @@
     rig.run_until(lambda: 7 in rig.exchange().connection_by_call)
     first_connection = rig.exchange().connection_by_call[7]
     number = next(iter(rig.call_manager.calls))
-    rig.call_manager.obey([CancelAttempt(number, 0)])
+    rig.call_manager.execute_commands([CancelAttempt(number, 0)])
     rig.advance(300)
-    rig.call_manager.obey([SendSetUp(number, "x1", 2000.0)])
+    rig.call_manager.execute_commands([SendSetUp(number, "x1", 2000.0)])
     rig.advance(100)
     assert rig.exchange().types_and_causes(7).count((MessageType.SET_UP, -1)) == 2
     assert rig.exchange().connection_by_call[7] is not first_connection
--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -149,7 +149,7 @@
         rig.run_until(lambda: (MessageType.RELEASE, NORMAL_CLEARING) in rig.exchange().types_and_causes(5))
         assert not rig.call_manager.calls and rig.call_manager.unanswered_calls == 0
         ended = [each for each in rig.decisions.events if isinstance(each, AttemptEnded)]
-        assert [(each.outcome, each.ended) for each in ended] == [(Outcome.CANCELLED, True)]
+        assert [(each.outcome, each.call_ended) for each in ended] == [(Outcome.CANCELLED, True)]
 
     def test_standing_call_survives_the_loss_of_its_connection(
         self, rig: Rig, client_type: type[CallingClient]
--- a/tests/test_release_delivery.py
+++ b/tests/test_release_delivery.py
@@ -1,4 +1,4 @@
-"""Delivery of releases: a model of callers whose connections close at any moment, on either side."""
+"""Delivery of releases over fake connections that either side may close at any time."""
 
 from __future__ import annotations
 
@@ -9,14 +9,21 @@
 from hypothesis import settings, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from mintvalve.core.release_delivery import ACK_MS, MEANT_MS, MOST_SAYS, SLICE, SURE_MS, ReleaseDelivery
+from mintvalve.core.release_delivery import (
+    ACK_TIMEOUT_MS,
+    ANY_CONNECTION_AFTER_MS,
+    MAX_SENDS_PER_RELEASE,
+    MAX_SENDS_PER_PASS,
+    IMPLICIT_ACK_MS,
+    ReleaseDelivery,
+)
 
-KEEP_MS = 30_000.0
+MAX_AGE_MS = 30_000.0
 
 
 @dataclass(eq=False)
-class Pipe:
-    """A connection: what is written waits in it until its side reads; a close loses that."""
+class FakeConnection:
+    """A connection that buffers the written releases until the remote side reads; a close discards them."""
 
     host: str
     acknowledges: bool = False
@@ -26,243 +33,274 @@
     unread: list[int] = field(default_factory=list)
 
 
-class Town:
-    """Hosts with their pipes; keeps who read what."""
+class FakeNetwork:
+    """Hosts with their connections; records by call which hosts read its release."""
 
-    def __init__(self, keep_ms: float = KEEP_MS, most: int = 100, strangers: bool = True) -> None:
+    def __init__(
+        self, max_age_ms: float = MAX_AGE_MS, max_pending: int = 100, allow_other_hosts: bool = True
+    ) -> None:
         self.now = 0.0
-        self.releases: ReleaseDelivery[Pipe] = ReleaseDelivery(self, keep_ms, most, strangers)
-        self.read: dict[int, list[str]] = {}
-        self.full: set[Pipe] = set()
+        self.delivery: ReleaseDelivery[FakeConnection] = ReleaseDelivery(
+            self, max_age_ms, max_pending, allow_other_hosts
+        )
+        self.readers: dict[int, list[str]] = {}
+        self.full_connections: set[FakeConnection] = set()
         self.ends = 0
 
-    def write_release(self, way: Pipe, call: int, cause: int) -> bool:
-        if not way.is_open or way in self.full:
+    def write_release(self, connection: FakeConnection, call: int, cause: int) -> bool:
+        if not connection.is_open or connection in self.full_connections:
             return False
-        way.unread.append(call)
+        connection.unread.append(call)
         return True
 
-    def pipe(self, host: str, acknowledges: bool = False, proven: bool = False) -> Pipe:
-        way = Pipe(host, acknowledges, proven)
-        self.releases.on_connection_opened(way, self.now)
-        return way
-
-    def owe(self, call: int, home: Pipe | None, host: str = "") -> None:
-        self.releases.enqueue_release(call, 16, home, home.host if home else host, self.now)
-
-    def hear(self, way: Pipe, acknowledge: bool = True) -> list[int]:
-        """Its side reads all that waits."""
-        heard, way.unread = way.unread, []
-        if heard:
-            way.last_data_at = self.now
-        for call in heard:
-            self.read.setdefault(call, []).append(way.host)
-            if acknowledge and way.acknowledges:
-                self.releases.on_acknowledged(call)
-        return heard
-
-    def close(self, way: Pipe) -> None:
-        way.is_open, way.unread = False, []
-        self.releases.on_connection_closed(way, self.now)
-
-    def later(self, ms: float) -> None:
+    def connect(self, host: str, acknowledges: bool = False, is_trusted: bool = False) -> FakeConnection:
+        connection = FakeConnection(host, acknowledges, is_trusted)
+        self.delivery.on_connection_opened(connection, self.now)
+        return connection
+
+    def enqueue(self, call: int, owner_connection: FakeConnection | None, owner_host: str = "") -> None:
+        self.delivery.enqueue_release(
+            call, 16, owner_connection, owner_connection.host if owner_connection else owner_host, self.now
+        )
+
+    def read_all(self, connection: FakeConnection, acknowledge: bool = True) -> list[int]:
+        """The remote side reads, and acknowledges, all releases in the buffer; returns their calls."""
+        read, connection.unread = connection.unread, []
+        if read:
+            connection.last_data_at = self.now
+        for call in read:
+            self.readers.setdefault(call, []).append(connection.host)
+            if acknowledge and connection.acknowledges:
+                self.delivery.on_acknowledged(call)
+        return read
+
+    def close(self, connection: FakeConnection) -> None:
+        connection.is_open, connection.unread = False, []
+        self.delivery.on_connection_closed(connection, self.now)
+
+    def advance(self, ms: float) -> None:
         end = self.now + ms
         while self.now < end:
             self.now = min(end, self.now + 50.0)
-            self.releases.look(self.now)
-
-    def empty(self) -> bool:
-        held = self.releases
-        return not (held.all or held.owed or held.said or held.by_host or held.by_way)
-
-
-def test_a_release_that_crosses_a_close_is_said_again() -> None:
-    # Guards against taking a write for a hearing: the caller closed before it read.
-    town = Town()
-    home = town.pipe("a", acknowledges=True)
-    town.owe(1, home)
-    town.close(home)
-    assert town.read == {}
-    again = town.pipe("a", acknowledges=True)
-    assert town.hear(again) == [1] and town.empty()
-
-
-def test_a_side_that_acknowledges_and_does_not_is_told_by_another_way() -> None:
-    town = Town()
-    home, other = town.pipe("a", acknowledges=True), town.pipe("a", acknowledges=True)
-    town.owe(1, home)
-    town.later(ACK_MS - 50.0)
+            self.delivery.process_timeouts(self.now)
+
+    def is_empty(self) -> bool:
+        delivery = self.delivery
+        return not (
+            delivery.by_call
+            or delivery.queued
+            or delivery.sent
+            or delivery.by_owner_host
+            or delivery.by_connection
+        )
+
+
+def test_a_release_lost_in_a_closing_connection_is_sent_again() -> None:
+    # Guards against taking a write for a delivery: the caller closes before it reads.
+    network = FakeNetwork()
+    owner = network.connect("a", acknowledges=True)
+    network.enqueue(1, owner)
+    network.close(owner)
+    assert network.readers == {}
+    reconnected = network.connect("a", acknowledges=True)
+    assert network.read_all(reconnected) == [1] and network.is_empty()
+
+
+def test_an_overdue_acknowledgement_leads_to_a_retry_on_another_connection() -> None:
+    network = FakeNetwork()
+    owner, other = network.connect("a", acknowledges=True), network.connect("a", acknowledges=True)
+    network.enqueue(1, owner)
+    network.advance(ACK_TIMEOUT_MS - 50.0)
     assert other.unread == []
-    town.later(100.0)
-    assert home.unread == other.unread == [1]
-
-
-def test_one_that_never_acknowledges_has_heard_once_its_way_spoke_and_lasted() -> None:
-    town = Town()
-    home = town.pipe("a")
-    town.owe(1, home)
-    town.later(50.0)
-    home.last_data_at = town.now
-    town.later(SURE_MS - 100.0)
-    assert 1 in town.releases
-    town.later(100.0)
-    assert town.empty() and town.releases.ends == {"sure": 1}
-
-
-def test_a_way_that_is_silent_since_is_not_sure() -> None:
-    # A machine that was cut off leaves its connections open: nothing shows that the word came through.
-    town = Town()
-    home = town.pipe("a")
-    town.owe(1, home)
-    town.later(5 * SURE_MS)
-    assert 1 in town.releases
-    assert town.hear(town.pipe("a")) == [1]
-
-
-def test_another_host_hears_only_where_nobody_better_is_and_the_right_one_hears_too() -> None:
-    town = Town()
-    home, stranger = town.pipe("a"), town.pipe("b")
-    town.close(home)
-    town.releases.enqueue_release(1, 16, home, "a", town.now)
-    town.later(MEANT_MS - 50.0)
-    assert stranger.unread == []
-    known = town.pipe("c", acknowledges=True, proven=True)
-    assert town.hear(known) == [1] and stranger.unread == []
-    assert town.hear(town.pipe("a", acknowledges=True)) == [1] and town.empty()
-
-
-def test_without_strangers_a_release_waits_for_whoever_comes_back() -> None:
-    town = Town(strangers=False)
-    home, other = town.pipe("", acknowledges=True), town.pipe("", acknowledges=True, proven=True)
-    town.owe(1, home)
-    town.close(home)
-    town.later(3 * MEANT_MS)
+    network.advance(100.0)
+    assert owner.unread == other.unread == [1]
+
+
+def test_later_data_on_an_open_connection_counts_as_implicit_acknowledgement() -> None:
+    network = FakeNetwork()
+    owner = network.connect("a")
+    network.enqueue(1, owner)
+    network.advance(50.0)
+    owner.last_data_at = network.now
+    network.advance(IMPLICIT_ACK_MS - 100.0)
+    assert 1 in network.delivery
+    network.advance(100.0)
+    assert network.is_empty() and network.delivery.end_counts == {"sure": 1}
+
+
+def test_a_silent_connection_gives_no_implicit_acknowledgement() -> None:
+    # A partitioned machine leaves its connections open: nothing shows that the release arrived.
+    network = FakeNetwork()
+    owner = network.connect("a")
+    network.enqueue(1, owner)
+    network.advance(5 * IMPLICIT_ACK_MS)
+    assert 1 in network.delivery
+    assert network.read_all(network.connect("a")) == [1]
+
+
+def test_another_host_gets_a_release_only_without_the_owner_which_still_gets_it_on_return() -> None:
+    network = FakeNetwork()
+    owner, untrusted = network.connect("a"), network.connect("b")
+    network.close(owner)
+    network.delivery.enqueue_release(1, 16, owner, "a", network.now)
+    network.advance(ANY_CONNECTION_AFTER_MS - 50.0)
+    assert untrusted.unread == []
+    trusted = network.connect("c", acknowledges=True, is_trusted=True)
+    assert network.read_all(trusted) == [1] and untrusted.unread == []
+    assert network.read_all(network.connect("a", acknowledges=True)) == [1] and network.is_empty()
+
+
+def test_without_other_hosts_a_release_waits_for_its_owner_to_return() -> None:
+    network = FakeNetwork(allow_other_hosts=False)
+    owner, other = (
+        network.connect("", acknowledges=True),
+        network.connect("", acknowledges=True, is_trusted=True),
+    )
+    network.enqueue(1, owner)
+    network.close(owner)
+    network.advance(3 * ANY_CONNECTION_AFTER_MS)
     assert other.unread == []
-    assert town.releases.redirect(1, other, town.now) and not town.releases.redirect(2, other, town.now)
-    assert town.hear(other) == [1] and town.empty()
+    assert network.delivery.redirect(1, other, network.now) and not network.delivery.redirect(
+        2, other, network.now
+    )
+    assert network.read_all(other) == [1] and network.is_empty()
 
 
-def test_a_full_way_is_passed_over_and_the_oldest_gives_way_where_all_places_are_taken() -> None:
-    town = Town(most=3)
-    home = town.pipe("a")
-    town.full.add(home)
+def test_a_full_connection_is_skipped_and_the_oldest_release_is_evicted_at_the_limit() -> None:
+    network = FakeNetwork(max_pending=3)
+    owner = network.connect("a")
+    network.full_connections.add(owner)
     for call in range(1, 6):
-        town.owe(call, home)
-    assert list(town.releases.all) == [3, 4, 5] and town.releases.ends == {"crowded out": 2}
-    town.full.clear()
-    town.later(50.0)
-    assert home.unread == [3, 4, 5]
-
-
-def test_many_at_once_go_out_in_slices() -> None:
-    # Guards against holding the loop while thousands are owed and one caller comes back.
-    town = Town(most=10 * SLICE)
-    for call in range(3 * SLICE):
-        town.owe(call, None, "a")
-    home = town.pipe("a", acknowledges=True)
-    assert len(home.unread) == SLICE
-    town.later(100.0)
-    assert len(home.unread) == 3 * SLICE
-
-
-@pytest.mark.parametrize("said", [True, False])
-def test_what_nobody_hears_ends_with_its_time(said: bool) -> None:
-    town = Town()
-    home = town.pipe("a")
-    if not said:
-        town.close(home)
-    town.owe(1, home)
-    town.later(KEEP_MS)
-    assert town.empty() and town.releases.ends == {"unsure" if said else "late": 1}
-
-
-class Model(RuleBasedStateMachine):
-    """Two hosts that acknowledge and one that does not; all that is owed to one is read there in the end."""
+        network.enqueue(call, owner)
+    assert list(network.delivery.by_call) == [3, 4, 5] and network.delivery.end_counts == {"crowded out": 2}
+    network.full_connections.clear()
+    network.advance(50.0)
+    assert owner.unread == [3, 4, 5]
+
+
+def test_a_pass_sends_no_more_than_the_limit() -> None:
+    # Guards against blocking the event loop when a caller with thousands of pending releases reconnects.
+    network = FakeNetwork(max_pending=10 * MAX_SENDS_PER_PASS)
+    for call in range(3 * MAX_SENDS_PER_PASS):
+        network.enqueue(call, None, "a")
+    owner = network.connect("a", acknowledges=True)
+    assert len(owner.unread) == MAX_SENDS_PER_PASS
+    network.advance(100.0)
+    assert len(owner.unread) == 3 * MAX_SENDS_PER_PASS
+
+
+@pytest.mark.parametrize("is_sent", [True, False])
+def test_an_unacknowledged_release_ends_at_its_maximum_age(is_sent: bool) -> None:
+    network = FakeNetwork()
+    owner = network.connect("a")
+    if not is_sent:
+        network.close(owner)
+    network.enqueue(1, owner)
+    network.advance(MAX_AGE_MS)
+    assert network.is_empty() and network.delivery.end_counts == {"unsure" if is_sent else "late": 1}
+
+
+class DeliveryModel(RuleBasedStateMachine):
+    """Two hosts that acknowledge and one that does not; in the end each must have read all its releases."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.town = Town()
-        self.pipes: list[Pipe] = []
-        self.owed: dict[int, str] = {}
+        self.network = FakeNetwork()
+        self.connections: list[FakeConnection] = []
+        self.owner_hosts: dict[int, str] = {}
 
-    def pick(self, number: int) -> Pipe | None:
-        alive = [each for each in self.pipes if each.is_open]
-        return alive[number % len(alive)] if alive else None
+    def choose_open_connection(self, number: int) -> FakeConnection | None:
+        open_connections = [connection for connection in self.connections if connection.is_open]
+        return open_connections[number % len(open_connections)] if open_connections else None
 
     @rule(host=st.sampled_from("abc"))
     def connect(self, host: str) -> None:
-        self.pipes.append(self.town.pipe(host, acknowledges=host != "c"))
+        self.connections.append(self.network.connect(host, acknowledges=host != "c"))
 
     @rule(number=st.integers(0, 9))
     def end_call(self, number: int) -> None:
-        if (way := self.pick(number)) is not None:
-            call = len(self.owed)
-            self.owed[call] = way.host
-            self.town.owe(call, way)
+        if (connection := self.choose_open_connection(number)) is not None:
+            call = len(self.owner_hosts)
+            self.owner_hosts[call] = connection.host
+            self.network.enqueue(call, connection)
 
     @rule(number=st.integers(0, 9))
-    def end_call_of_a_gone_caller(self, number: int) -> None:
-        if self.pipes:
-            way = self.pipes[number % len(self.pipes)]
-            call = len(self.owed)
-            self.owed[call] = way.host
-            self.town.owe(call, way)
-
-    @rule(number=st.integers(0, 9), proven=st.booleans())
-    def read(self, number: int, proven: bool) -> None:
-        if (way := self.pick(number)) is not None:
-            self.town.hear(way)
-            if proven and not way.is_trusted:
-                way.is_trusted = True
-                self.town.releases.on_connection_trusted(way, self.town.now)
+    def end_call_of_any_caller(self, number: int) -> None:
+        if self.connections:
+            connection = self.connections[number % len(self.connections)]
+            call = len(self.owner_hosts)
+            self.owner_hosts[call] = connection.host
+            self.network.enqueue(call, connection)
+
+    @rule(number=st.integers(0, 9), becomes_trusted=st.booleans())
+    def read(self, number: int, becomes_trusted: bool) -> None:
+        if (connection := self.choose_open_connection(number)) is not None:
+            self.network.read_all(connection)
+            if becomes_trusted and not connection.is_trusted:
+                connection.is_trusted = True
+                self.network.delivery.on_connection_trusted(connection, self.network.now)
 
     @rule(number=st.integers(0, 9))
     def read_and_close_before_the_acknowledgement_arrives(self, number: int) -> None:
-        if (way := self.pick(number)) is not None:
-            self.town.hear(way, acknowledge=False)
-            self.town.close(way)
+        if (connection := self.choose_open_connection(number)) is not None:
+            self.network.read_all(connection, acknowledge=False)
+            self.network.close(connection)
 
     @rule(number=st.integers(0, 9))
     def close(self, number: int) -> None:
-        if (way := self.pick(number)) is not None:
-            self.town.close(way)
+        if (connection := self.choose_open_connection(number)) is not None:
+            self.network.close(connection)
 
     @rule(ms=st.sampled_from([50.0, 200.0, 350.0]))
-    def later(self, ms: float) -> None:
-        self.town.later(ms)
+    def advance(self, ms: float) -> None:
+        self.network.advance(ms)
 
     @invariant()
-    def the_tables_agree(self) -> None:
-        held = self.town.releases
-        assert not held.owed.keys() & held.said.keys()
-        assert held.owed.keys() | held.said.keys() <= held.all.keys()
-        assert sorted(held.all) == sorted(call for there in held.by_host.values() for call in there)
-        assert all(way.is_open for way in held.by_way) and all(way.is_open for way in held.ways)
-        assert all(release.says <= MOST_SAYS for release in held.all.values())
-        lost = [call for call in self.owed if call not in held and call not in self.town.read]
-        sure = [call for call in lost if self.owed[call] == "c"]
-        assert lost == sure, "ended, and nobody has read it"
-        unread = {call for each in self.pipes if each.is_open for call in each.unread}
-        assert set(sure) <= unread, "taken for sure, and not even in a connection that is open"
+    def tables_are_consistent(self) -> None:
+        delivery = self.network.delivery
+        assert not delivery.queued.keys() & delivery.sent.keys()
+        assert delivery.queued.keys() | delivery.sent.keys() <= delivery.by_call.keys()
+        assert sorted(delivery.by_call) == sorted(
+            call for releases in delivery.by_owner_host.values() for call in releases
+        )
+        assert all(connection.is_open for connection in delivery.by_connection) and all(
+            connection.is_open for connection in delivery.connections
+        )
+        assert all(release.send_count <= MAX_SENDS_PER_RELEASE for release in delivery.by_call.values())
+        ended_unread = [
+            call for call in self.owner_hosts if call not in delivery and call not in self.network.readers
+        ]
+        taken_as_delivered = [call for call in ended_unread if self.owner_hosts[call] == "c"]
+        assert ended_unread == taken_as_delivered, "delivery ended, but no host has read the release"
+        unread = {call for connection in self.connections if connection.is_open for call in connection.unread}
+        assert set(taken_as_delivered) <= unread, (
+            "taken as delivered, but not in the buffer of an open connection"
+        )
 
     def teardown(self) -> None:
-        """Everybody comes back once, stays, and reads."""
-        for each in self.pipes:
-            if each.is_open:
-                self.town.hear(each)
-        back = [self.town.pipe(host, acknowledges=True) for host in "abc"]
+        """Every host reconnects, stays connected and reads."""
+        for connection in self.connections:
+            if connection.is_open:
+                self.network.read_all(connection)
+        returning = [self.network.connect(host, acknowledges=True) for host in "abc"]
         for _ in range(20):
-            self.town.later(100.0)
-            for each in [*self.pipes, *back]:
-                if each.is_open:
-                    each.last_data_at = self.town.now
-                    self.town.hear(each)
-        for call, host in self.owed.items():
-            assert host in self.town.read.get(call, []), f"{host} never heard of call {call}"
-        assert self.town.empty() or all(not each.met for each in self.town.releases.all.values())
-        self.town.later(KEEP_MS)
-        assert self.town.empty()
-
-
-Model.TestCase.settings = settings(derandomize=True, deadline=None, max_examples=150, stateful_step_count=30)
-TestDeliveryModel = Model.TestCase
+            self.network.advance(100.0)
+            for connection in [*self.connections, *returning]:
+                if connection.is_open:
+                    connection.last_data_at = self.network.now
+                    self.network.read_all(connection)
+        for call, host in self.owner_hosts.items():
+            assert host in self.network.readers.get(call, []), (
+                f"host {host} never read the release of call {call}"
+            )
+        assert self.network.is_empty() or all(
+            not release.reached_owner for release in self.network.delivery.by_call.values()
+        )
+        self.network.advance(MAX_AGE_MS)
+        assert self.network.is_empty()
+
+
+DeliveryModel.TestCase.settings = settings(
+    derandomize=True, deadline=None, max_examples=150, stateful_step_count=30
+)
+TestDeliveryModel = DeliveryModel.TestCase
