--- a/tests/test_release_model.py
+++ b/tests/test_release_model.py
@@ -44,8 +44,11 @@
         call, identity = self.last_call, f"{self.last_call:016x}"
         exchange.on_set_up = lambda fake_exchange, message: fake_exchange.answer(message.call_id)
         caller.set_up(call)
-        self.rig.run_until(lambda: call in self.rig.call_manager.by_identity)
-        while not any(message[1] == identity for message in caller.received if message[0] != "progress"):
+        # Without a connection to the exchange the call may be refused within one iteration of the loop.
+        self.rig.run_until(
+            lambda: call in self.rig.call_manager.by_identity or self.is_answered(caller, identity)
+        )
+        while not self.is_answered(caller, identity):
             self.rig.advance(50.0)  # until there is a connection to the exchange
         if ("answer", identity, b"here") in caller.received:
             self.standing_calls.append(call)
@@ -144,6 +147,11 @@
         assert not rig.websocket_front.callers and not len(rig.websocket_front.releases)
         rig.close()
 
+    @staticmethod
+    def is_answered(caller: CallingClient, identity: str) -> bool:
+        """Whether the caller has received the final answer to its set-up."""
+        return any(message[1] == identity for message in caller.received if message[0] != "progress")
+
     @staticmethod
     def releases_received(caller: CallingClient) -> list[int]:
         if isinstance(caller, BinaryClient):
@@ -166,3 +174,30 @@
 WebSocketReleaseModel.TestCase.settings = ReleaseModel.TestCase.settings
 TestBinaryReleases = ReleaseModel.TestCase
 TestWebReleases = WebSocketReleaseModel.TestCase
+
+
+def test_call_refused_within_one_iteration_of_the_loop_gets_its_answer() -> None:
+    # The exchange has closed its connections, and the loop has not handled all of the closes when a call is
+    # offered: the attempt is unreachable at once, and the caller is refused before the loop returns.
+    model = ReleaseModel()
+    model.connect_caller()
+    model.set_up_call(number=8)
+    model.advance(ms=1100.0)
+    model.connect_caller()
+    model.exchange_closes_connections(unread=True)
+    model.end_by_caller(number=7, settle=True)
+    model.exchange_closes_connections(unread=False)
+    model.set_up_call(number=0)
+    model.close_caller(number=5)
+    model.end_by_caller(number=5, settle=False)
+    model.set_up_call(number=5)
+    model.connect_caller()
+    model.end_by_caller(number=1, settle=False)
+    model.exchange_closes_connections(unread=False)
+    model.stop_reading(number=9)
+    model.set_up_call(number=2)
+    refused = [
+        message for caller in model.all_callers for message in caller.received if message[0] == "refused"
+    ]
+    assert refused == [("refused", f"{4:016x}")]
+    model.teardown()
