--- a/.ci/start.py
+++ b/.ci/start.py
@@ -1,4 +1,7 @@
-"""Starts an installed controller, waits until it serves, and ends it: `start.py PROGRAM SITE`."""
+"""Checks that an installed controller starts, serves and ends with code 0: `start.py PROGRAM SITE`.
+
+SITE is a folder of configurations as `mintvalve config write` makes it; the first one is used.
+"""
 
 import json
 import signal
@@ -17,5 +20,5 @@
     process.send_signal(signal.SIGTERM)
     process.stderr.read()
     code = process.wait()
-print("it serves" if serves else "it never served", f"and ended with {code}")
+print("it logged phase=serving" if serves else "it never logged phase=serving", f"and ended with code {code}")
 sys.exit(0 if serves and code == 0 else 1)
--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# build: the run-time environment; test, lint: the test environment; run: one call controller.
+# build makes the run-time environment, test and lint the test environment; run and websocket start a controller.
 PYTHON ?= python3
 CONFIG ?= config.json
 WEBSOCKET ?= deploy/websocket.toml
--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the project's own, one command each; results go to docs/measurements/."""
+"""Measurements of the project, one command each; results go to docs/measurements/."""
--- a/mintvalve/analysis/__init__.py
+++ b/mintvalve/analysis/__init__.py
@@ -1,2 +1,4 @@
-"""Number analysis: which exchange a dialled number means. Decisions only; no file, socket or clock is
-known."""
+"""Number analysis: finds the exchange to which a dialled number leads.
+
+Pure decisions: nothing in this package reads a file, a socket or a clock.
+"""
--- a/mintvalve/analysis/plan.py
+++ b/mintvalve/analysis/plan.py
@@ -1,8 +1,8 @@
-"""A numbering plan as one generation holds it, and the decision where a call goes.
+"""One generation of a numbering plan, and the analysis that decides where a call goes.
 
-All of it is fixed once built: a call keeps the plan under which it came. What changes meanwhile (the list of
-exchanges, the counts of caps) is asked for through arguments. The route is chosen before the call goes to the
-decision module, which then decides as ever; its refusal is final.
+A plan is immutable: a call keeps the plan under which it arrived. State that changes (the list of exchanges,
+the usage of caps) is not part of the plan; the analysis gets it through arguments. The route is chosen before
+the call is handed to the decision module, which decides as for any other call; its refusal is final.
 """
 
 from __future__ import annotations
@@ -13,40 +13,44 @@
 from enum import Enum
 from hashlib import blake2b
 
-from mintvalve.analysis.index import Index
+from mintvalve.analysis.index import PrefixIndex
 from mintvalve.analysis.timetables import Timetable
 
-HOPS = 8  # routes that lead on to others by the time of day; more in a row are refused as a plan is read
-SEPARATORS = str.maketrans("", "", " -.()/")  # that people put into numbers
-DECIMAL = str.maketrans("*#", "ab")  # the two further keys of a telephone; the index knows hex digits
+MAX_CHAINED_ROUTES = 8  # routes in a row that timetables may lead through; the table's reader refuses more
+REMOVE_SEPARATORS = str.maketrans("", "", " -.()/")  # as people write them in numbers
+DECIMAL_TO_HEX = str.maketrans("*#", "ab")  # telephone keys * and #; the index holds hex digits only
 
 
-class Verdict(Enum):
-    """What a number is."""
+class Outcome(Enum):
+    """Result of the analysis of a number."""
 
     ROUTED = "routed"
     BARRED = "barred"
-    INCOMPLETE = "incomplete"  # more digits would make it a number
+    INCOMPLETE = "incomplete"  # further digits may lead to a route
     UNKNOWN = "unknown"
 
 
 class Alphabet(Enum):
-    """The digits of a plan."""
+    """The digits that numbers and prefixes of a plan consist of."""
 
     DECIMAL = "decimal"  # 0 to 9, * and #
     HEX = "hex"  # 0 to 9 and a to f
 
-    def coded(self, text: str) -> str | None:
-        """The hex digits by which the index knows a number or prefix; None where it has other characters."""
-        known = "0123456789*#" if self is Alphabet.DECIMAL else "0123456789abcdef"
-        if any(each not in known for each in text):
+    def encode(self, text: str) -> str | None:
+        """Return a number or prefix in the index's hex digits; None if it has characters of no digit."""
+        allowed = "0123456789*#" if self is Alphabet.DECIMAL else "0123456789abcdef"
+        if any(character not in allowed for character in text):
             return None
-        return text.translate(DECIMAL) if self is Alphabet.DECIMAL else text
+        return text.translate(DECIMAL_TO_HEX) if self is Alphabet.DECIMAL else text
 
 
 @dataclass(frozen=True, slots=True)
 class Rewrite:
-    """How a caller group dials: numbers that begin so, of such a length, lose digits and gain others."""
+    """Rule that turns a dialled number into a number of the plan.
+
+    It applies to numbers that begin with `begins` and have `least` to `most` digits: `strip` leading digits
+    are removed and `add` is put in front.
+    """
 
     begins: str
     strip: int
@@ -54,27 +58,28 @@
     least: int = 0
     most: int = 10_000
 
-    def fits(self, number: str) -> bool:
+    def matches(self, number: str) -> bool:
         return number.startswith(self.begins) and self.least <= len(number) <= self.most
 
 
 @dataclass(frozen=True, slots=True)
-class Group:
-    """Callers who dial alike. The first rewrite that fits is the one."""
+class CallerGroup:
+    """Callers whose dialled numbers follow the same rewrites."""
 
     name: str
     rewrites: tuple[Rewrite, ...] = ()
 
-    def normalised(self, number: str) -> tuple[str, Rewrite | None]:
+    def normalise(self, number: str) -> tuple[str, Rewrite | None]:
+        """Return the number after the first rewrite that matches, and this rewrite (None: no match)."""
         for rewrite in self.rewrites:
-            if rewrite.fits(number):
+            if rewrite.matches(number):
                 return rewrite.add + number[rewrite.strip :], rewrite
         return number, None
 
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """One exchange of a rank, by its number, and its weight against the others."""
+    """One exchange of a rank, by its number, with its weight relative to the others of the rank."""
 
     to: int
     weight: int = 1
@@ -82,8 +87,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where calls go: ranks in their order, alternatives by weight within one; or, by the rule of a
-    timetable, another route."""
+    """Where calls go: to an exchange of the ranks, or to another route by the rule of a timetable.
+
+    Ranks are tried in order; among the exchanges of one rank the weights decide. `by_rule` maps each rule of
+    `timetable` to the name of a route. `caps` are names of caps.
+    """
 
     name: str
     ranks: tuple[tuple[Choice, ...], ...] = ()
@@ -94,7 +102,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Cap:
-    """So many calls at once, or so many a second, for all that name it; 0: no limit of that kind."""
+    """Limit on the concurrent calls and on the calls per second of all routes and prefixes that name it.
+
+    0 stands for no limit of that kind. `burst` is the number of calls that the rate admits at once.
+    """
 
     name: str
     calls: int = 0
@@ -103,125 +114,146 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Range:
-    """What prefixes lead to; those that lead to the same share one."""
+class PrefixTarget:
+    """What a prefix leads to; prefixes with equal entries share one object."""
 
     route: str  # empty: barred
-    least: int = 0  # digits of a whole number
-    most: int = 10_000
+    min_digits: int = 0  # of a complete number
+    max_digits: int = 10_000
     caps: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Analysed:
-    """The decision about one call, and how it came about."""
+class AnalysisResult:
+    """Where one call goes, and the reasons in the order in which they applied.
+
+    `destination` is the number of an exchange; -1 where the call is not routed.
+    """
 
-    verdict: Verdict
+    outcome: Outcome
     generation: str
-    normalised: str
-    matched: str = ""
+    normalised_number: str
+    matched_prefix: str = ""
     destination: int = -1
     route: str = ""
     caps: tuple[str, ...] = ()
-    because: tuple[str, ...] = ()
+    reasons: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One generation. `ranges` are what the values of `index` stand for."""
+    """One generation of a numbering plan. The values of `index` are positions in `targets`."""
 
     name: str
     generation: str
     alphabet: Alphabet
-    groups: Mapping[str, Group]
-    usual_group: str
+    groups: Mapping[str, CallerGroup]
+    default_group: str
     routes: Mapping[str, Route]
     caps: Mapping[str, Cap]
     timetables: Mapping[str, Timetable]
-    ranges: tuple[Range, ...]
-    index: Index
+    targets: tuple[PrefixTarget, ...]
+    index: PrefixIndex
 
     def analyse(
         self,
         number: str,
-        call: int,
-        when: float,
-        there: Callable[[int], bool],
-        group: str = "",
-    ) -> Analysed:
-        """What a dialled number means at a Unix time (seconds). `there` tells whether the list holds an
-        exchange of that number; the choice among alternatives is made by the call's id, so it can be
-        repeated."""
-        dialled = number.translate(SEPARATORS)
-        rules = self.groups[group if group in self.groups else self.usual_group]
-        whole, rewrite = rules.normalised(dialled)
-        because = [
-            f"group {rules.name}" + (f" turns {rewrite.begins}… into {rewrite.add}…" if rewrite else "")
+        call_id: int,
+        time_s: float,
+        is_listed: Callable[[int], bool],
+        group_name: str = "",
+    ) -> AnalysisResult:
+        """Decide where a call to a dialled number goes at a Unix time in seconds.
+
+        `is_listed` tells whether an exchange of a given number is in the list of exchanges. An unknown
+        `group_name` stands for the plan's default group. The choice among alternatives is a hash of
+        `call_id`, not random, so that it can be repeated.
+        """
+        dialled = number.translate(REMOVE_SEPARATORS)
+        group = self.groups[group_name if group_name in self.groups else self.default_group]
+        normalised, rewrite = group.normalise(dialled)
+        reasons = [
+            f"group {group.name}" + (f" turns {rewrite.begins}… into {rewrite.add}…" if rewrite else "")
         ]
 
-        def end(verdict: Verdict, text: str, matched: str = "", route: str = "") -> Analysed:
-            return Analysed(verdict, self.generation, whole, matched, route=route, because=(*because, text))
-
-        coded = self.alphabet.coded(whole)
-        if coded is None:
-            return end(Verdict.UNKNOWN, f"it has characters that are no {self.alphabet.value} digits")
-        found = self.index.match(coded)
-        if found is None:
-            if self.index.begins(coded):
-                return end(Verdict.INCOMPLETE, "longer numbers begin so")
-            return end(Verdict.UNKNOWN, "no prefix begins it")
-        part = self.ranges[found[1]]
-        matched = whole[: found[0]]
-        if len(whole) < part.least or (
-            len(whole) == found[0] < part.most and not part.least and self.index.begins(coded)
+        def unrouted(outcome: Outcome, reason: str, matched: str = "", route: str = "") -> AnalysisResult:
+            return AnalysisResult(
+                outcome, self.generation, normalised, matched, route=route, reasons=(*reasons, reason)
+            )
+
+        encoded = self.alphabet.encode(normalised)
+        if encoded is None:
+            return unrouted(Outcome.UNKNOWN, f"it has characters that are no {self.alphabet.value} digits")
+        match = self.index.match(encoded)
+        if match is None:
+            if self.index.has_longer_prefix(encoded):
+                return unrouted(Outcome.INCOMPLETE, "longer numbers begin so")
+            return unrouted(Outcome.UNKNOWN, "no prefix begins it")
+        target = self.targets[match[1]]
+        matched = normalised[: match[0]]
+        if len(normalised) < target.min_digits or (
+            len(normalised) == match[0] < target.max_digits
+            and not target.min_digits
+            and self.index.has_longer_prefix(encoded)
         ):
-            return end(Verdict.INCOMPLETE, f"numbers under {matched} have more digits", matched, part.route)
-        if len(whole) > part.most:
-            return end(
-                Verdict.UNKNOWN,
-                f"numbers under {matched} have {part.most} digits at the most",
+            return unrouted(
+                Outcome.INCOMPLETE, f"numbers under {matched} have more digits", matched, target.route
+            )
+        if len(normalised) > target.max_digits:
+            return unrouted(
+                Outcome.UNKNOWN,
+                f"numbers under {matched} have {target.max_digits} digits at the most",
                 matched,
-                part.route,
+                target.route,
             )
-        if not part.route:
-            return end(Verdict.BARRED, f"{matched} is barred", matched)
-        because.append(f"prefix {matched} leads to {part.route}")
-        route, caps = self.routes[part.route], list(part.caps)
-        for _ in range(HOPS):
-            caps += [each for each in route.caps if each not in caps]
+        if not target.route:
+            return unrouted(Outcome.BARRED, f"{matched} is barred", matched)
+        reasons.append(f"prefix {matched} leads to {target.route}")
+        route, caps = self.routes[target.route], list(target.caps)
+        for _ in range(MAX_CHAINED_ROUTES):
+            caps += [cap for cap in route.caps if cap not in caps]
             if not route.timetable:
                 break
-            rule = self.timetables[route.timetable].at(when)
-            because.append(f"{route.timetable} says {rule}: {route.by_rule[rule]}")
+            rule = self.timetables[route.timetable].rule_at(time_s)
+            reasons.append(f"{route.timetable} says {rule}: {route.by_rule[rule]}")
             route = self.routes[route.by_rule[rule]]
-        choice, text = self.choose(route, call, there)
-        return Analysed(
-            Verdict.ROUTED,
+        choice, reason = self.choose_exchange(route, call_id, is_listed)
+        return AnalysisResult(
+            Outcome.ROUTED,
             self.generation,
-            whole,
+            normalised,
             matched,
             choice.to,
             route.name,
             tuple(caps),
-            (*because, text),
+            (*reasons, reason),
         )
 
     @staticmethod
-    def choose(route: Route, call: int, there: Callable[[int], bool]) -> tuple[Choice, str]:
-        """The first rank that has an exchange in the list; within it by weight. Where none is, the first
-        choice all the same: the decision module knows best what to do with it."""
-        for place, rank in enumerate(route.ranks, 1):
-            fit = [each for each in rank if there(each.to)]
-            if fit:
-                best = max(fit, key=lambda each: score(call, route.name, each))
-                return best, f"rank {place} of {route.name}, {len(fit)} of {len(rank)} there: {best.to}"
-        best = max(route.ranks[0], key=lambda each: score(call, route.name, each))
+    def choose_exchange(route: Route, call_id: int, is_listed: Callable[[int], bool]) -> tuple[Choice, str]:
+        """Choose by weight from the first rank that has listed exchanges; also return the reason as text.
+
+        Where no rank has any, the choice is made from the first rank regardless: the decision module handles
+        an unlisted destination.
+        """
+        for rank_number, rank in enumerate(route.ranks, 1):
+            listed = [choice for choice in rank if is_listed(choice.to)]
+            if listed:
+                best = max(listed, key=lambda choice: rendezvous_score(call_id, route.name, choice))
+                return (
+                    best,
+                    f"rank {rank_number} of {route.name}, {len(listed)} of {len(rank)} there: {best.to}",
+                )
+        best = max(route.ranks[0], key=lambda choice: rendezvous_score(call_id, route.name, choice))
         return best, f"no exchange of {route.name} is there: {best.to}"
 
 
-def score(call: int, route: str, choice: Choice) -> float:
-    """Weighted rendezvous hashing (Thaler and Ravishankar 1998; weights as Schindelhauer and Schomaker 2005):
-    the highest score wins. An alternative that goes or comes moves only its own share of the calls."""
-    data = b"%016x %d %s" % (call, choice.to, route.encode())
-    part = (int.from_bytes(blake2b(data, digest_size=8).digest(), "big") + 0.5) / 2.0**64
-    return -choice.weight / math.log(part)
+def rendezvous_score(call_id: int, route_name: str, choice: Choice) -> float:
+    """Score an alternative of a route for a call; the alternative with the highest score is chosen.
+
+    Weighted rendezvous hashing (Thaler and Ravishankar 1998; weights after Schindelhauer and Schomaker 2005):
+    an alternative that is removed or added moves only its own share of the calls.
+    """
+    data = b"%016x %d %s" % (call_id, choice.to, route_name.encode())
+    unit_hash = (int.from_bytes(blake2b(data, digest_size=8).digest(), "big") + 0.5) / 2.0**64
+    return -choice.weight / math.log(unit_hash)
--- a/mintvalve/cli/__init__.py
+++ b/mintvalve/cli/__init__.py
@@ -1,2 +1,4 @@
-"""Sub-commands; nothing is decided here, and nothing of it is imported where the platform runs the
-program."""
+"""Command-line sub-commands around the library; they hold no decision logic.
+
+The package is not imported when the platform starts the program without a sub-command.
+"""
--- a/mintvalve/cli/commands.py
+++ b/mintvalve/cli/commands.py
@@ -1,4 +1,4 @@
-"""`python -m mintvalve VERB`: run, config, routes."""
+"""Command line of `python -m mintvalve VERB` with the verbs run, config and routes."""
 
 from __future__ import annotations
 
--- a/mintvalve/config/__init__.py
+++ b/mintvalve/config/__init__.py
@@ -1,1 +1,1 @@
-"""The tool that writes and checks the program's configuration, from an inventory of applications."""
+"""Writes and checks the program's configuration files, from an inventory of applications."""
--- a/mintvalve/config/inventory.py
+++ b/mintvalve/config/inventory.py
@@ -1,7 +1,7 @@
-"""Inventories as configuration tools keep them: a CSV table, or YAML groups with hosts and inherited vars.
+"""Reads inventories of applications: CSV tables, or YAML groups with hosts and inherited vars.
 
-Either way an inventory is read into records, one for each application, of plain fields and the rows they
-stand in. What the fields mean is not known here.
+Both give one record for each application, with its fields and their rows in the file. The values of the
+fields are checked in `mintvalve.config.applications`.
 """
 
 from __future__ import annotations
@@ -15,64 +15,78 @@
 
 import yaml
 
-from mintvalve.config.faults import Fault, Unusable
+from mintvalve.config.faults import Fault, ConfigurationError
 
-SETTINGS = "settings"
+SETTINGS_FIELD = "settings"
 GROUP_KEYS = {"vars", "hosts", "children"}
 
 
 @dataclass(slots=True)
-class Record:
-    """One application's fields, as they stand in the inventory."""
+class InventoryRecord:
+    """The unchecked fields of one application, with the rows that they were read from.
+
+    `field_rows` has the rows of single fields where they differ from `row`, the record's own.
+    """
 
     name: str
     row: int
     fields: dict[str, Any] = field(default_factory=dict)
-    rows: dict[str, int] = field(default_factory=dict)
+    field_rows: dict[str, int] = field(default_factory=dict)
+
+    def row_of(self, field_name: str) -> int:
+        """Return the row of a field, or of the field that holds a dotted path."""
+        return self.field_rows.get(field_name.partition(".")[0], self.row)
 
-    def row_of(self, name: str) -> int:
-        return self.rows.get(name.partition(".")[0], self.row)
 
+def read_text(path: Path) -> str:
+    """Return a file's text without a byte order mark.
 
-def text_of(path: Path) -> str:
-    """A file's text; Unusable where there is none."""
+    Raises ConfigurationError where the file can't be read or is not UTF-8.
+    """
     try:
         return path.read_bytes().decode("utf-8-sig")
-    except OSError as fault:
-        raise Unusable([Fault(str(path), 0, "", fault.strerror or str(fault))]) from None
-    except UnicodeDecodeError as fault:
-        raise Unusable([Fault(str(path), 0, "", f"not UTF-8 at byte {fault.start}")]) from None
+    except OSError as error:
+        raise ConfigurationError([Fault(str(path), 0, "", error.strerror or str(error))]) from None
+    except UnicodeDecodeError as error:
+        raise ConfigurationError([Fault(str(path), 0, "", f"not UTF-8 at byte {error.start}")]) from None
 
 
-def read(path: Path, faults: list[Fault]) -> list[Record]:
-    """The records of an inventory; what is wrong with its form is added to `faults`."""
-    text = text_of(path)
+def read_inventory(path: Path, faults: list[Fault]) -> list[InventoryRecord]:
+    """Return the records of an inventory, in the format that its file name ends with.
+
+    Faults of its form are added to `faults`; raises ConfigurationError where no records can be read.
+    """
+    text = read_text(path)
     if path.suffix == ".csv":
         return read_csv(str(path), text, faults)
     if path.suffix in (".yaml", ".yml"):
         return read_yaml(str(path), text, faults)
-    raise Unusable([Fault(str(path), 0, "", "an inventory ends in .csv, .yaml or .yml")])
+    raise ConfigurationError([Fault(str(path), 0, "", "an inventory ends in .csv, .yaml or .yml")])
 
 
-def scalar(text: str) -> Any:
-    """A cell as JSON would read it, else as text."""
+def parse_cell(text: str) -> Any:
+    """Return a cell's value as JSON, or its text where it is not JSON."""
     try:
         return json.loads(text)
     except ValueError:
         return text
 
 
-def merge(base: Any, over: Any) -> Any:
-    """Mappings are merged key by key, anything else is replaced."""
-    if isinstance(base, dict) and isinstance(over, dict):
-        return {**base, **{key: merge(base.get(key), value) for key, value in over.items()}}
-    return over
+def deep_merge(base: Any, override: Any) -> Any:
+    """Return `base` overridden by `override`: mappings are merged key by key, anything else is replaced."""
+    if isinstance(base, dict) and isinstance(override, dict):
+        return {**base, **{key: deep_merge(base.get(key), value) for key, value in override.items()}}
+    return override
+
 
+def read_csv(file: str, text: str, faults: list[Fault]) -> list[InventoryRecord]:
+    """Return the records of a CSV table, one for each row below its header.
 
-def read_csv(file: str, text: str, faults: list[Fault]) -> list[Record]:
-    """A table with a header; `settings.PATH` columns set single settings, semicolons part a list."""
+    A column `settings.PATH` gives a single setting, as JSON or text, and semicolons separate origins. Empty
+    cells are left out. Raises ConfigurationError where the header has no column `application`.
+    """
     reader = csv.reader(io.StringIO(text), strict=True)
-    records: list[Record] = []
+    records: list[InventoryRecord] = []
     header: list[str] = []
     try:
         for cells in reader:
@@ -84,116 +98,149 @@
                 for name in sorted({name for name in header if header.count(name) > 1}):
                     faults.append(Fault(file, row, name or "(no name)", "the column stands twice"))
                 if "application" not in header:
-                    raise Unusable([*faults, Fault(file, row, "application", "the column is missing")])
+                    raise ConfigurationError(
+                        [*faults, Fault(file, row, "application", "the column is missing")]
+                    )
                 continue
             if len(cells) != len(header):
                 text = f"{len(cells)} cells where the header has {len(header)}"
                 faults.append(Fault(file, row, "", text))
                 continue
-            record = Record(dict(zip(header, cells, strict=True))["application"].strip(), row)
+            record = InventoryRecord(dict(zip(header, cells, strict=True))["application"].strip(), row)
             for name, cell in zip(header, (cell.strip() for cell in cells), strict=True):
-                path = name.split(".")
+                path_parts = name.split(".")
                 if name == "application" or not cell:
                     continue
-                if path[0] == SETTINGS and len(path) > 1:
-                    value: Any = scalar(cell)
-                    for part in reversed(path[1:]):
+                if path_parts[0] == SETTINGS_FIELD and len(path_parts) > 1:
+                    value: Any = parse_cell(cell)
+                    for part in reversed(path_parts[1:]):
                         value = {part: value}
-                    record.fields[SETTINGS] = merge(record.fields.get(SETTINGS, {}), value)
+                    record.fields[SETTINGS_FIELD] = deep_merge(record.fields.get(SETTINGS_FIELD, {}), value)
                 elif name == "origins":
                     record.fields[name] = [part.strip() for part in cell.split(";") if part.strip()]
                 else:
                     record.fields[name] = cell
             records.append(record)
-    except csv.Error as fault:
-        faults.append(Fault(file, reader.line_num, "", f"not CSV: {fault}"))
+    except csv.Error as error:
+        faults.append(Fault(file, reader.line_num, "", f"not CSV: {error}"))
     if not header:
         faults.append(Fault(file, 0, "", "the table is empty"))
     return records
 
 
-class Groups:
-    """YAML groups: vars go from a group to its children and hosts; a host's own win."""
+class YamlGroupReader:
+    """Reads nested YAML groups into a record for each host.
+
+    A group's vars apply to its children and hosts. What a host has itself takes precedence over any group's
+    vars, also where it is in several groups.
+    """
 
     def __init__(self, file: str, faults: list[Fault]) -> None:
         self.file, self.faults = file, faults
-        self.records: dict[str, Record] = {}
-        self.own: dict[str, Record] = {}  # what stands at the hosts themselves
+        self.records: dict[str, InventoryRecord] = {}
+        self.host_records: dict[str, InventoryRecord] = {}  # the hosts' own fields, without the groups' vars
 
-    def fault(self, row: int, field: str, text: str) -> None:
+    def add_fault(self, row: int, field: str, text: str) -> None:
         self.faults.append(Fault(self.file, row, field, text))
 
-    def pairs(self, node: yaml.Node, what: str) -> dict[str, tuple[yaml.Node, int]]:
-        """A mapping's keys with their values and rows; none where it is empty or no mapping."""
+    def mapping_items(self, node: yaml.Node, field: str) -> dict[str, tuple[yaml.Node, int]]:
+        """Return a mapping's keys with their values and rows.
+
+        An empty node has no keys. A node that is no mapping is a fault of `field` and has none either. A
+        duplicate key is a fault, and its last value counts.
+        """
         if isinstance(node, yaml.ScalarNode) and node.tag == "tag:yaml.org,2002:null":
             return {}
         if not isinstance(node, yaml.MappingNode):
-            self.fault(node.start_mark.line + 1, what, "must be a mapping")
+            self.add_fault(node.start_mark.line + 1, field, "must be a mapping")
             return {}
-        found: dict[str, tuple[yaml.Node, int]] = {}
+        items: dict[str, tuple[yaml.Node, int]] = {}
         for key, value in node.value:
             name, row = str(key.value), key.start_mark.line + 1
-            if name in found:
-                self.fault(row, name, f"stands twice, first in row {found[name][1]}")
-            found[name] = value, row
-        return found
+            if name in items:
+                self.add_fault(row, name, f"stands twice, first in row {items[name][1]}")
+            items[name] = value, row
+        return items
 
-    def value(self, node: yaml.Node) -> Any:
-        """A node as safe_load gives it; keys that stand twice are faults at any depth."""
+    def load_value(self, node: yaml.Node) -> Any:
+        """Return a node's value as yaml.safe_load does; duplicate keys are faults at any depth."""
         if isinstance(node, yaml.MappingNode):
-            return {name: self.value(each) for name, (each, _) in self.pairs(node, "").items()}
+            return {name: self.load_value(child) for name, (child, _) in self.mapping_items(node, "").items()}
         if isinstance(node, yaml.SequenceNode):
-            return [self.value(each) for each in node.value]
+            return [self.load_value(child) for child in node.value]
         return yaml.safe_load(yaml.serialize(node, Dumper=yaml.SafeDumper))
 
-    def record(self, node: yaml.Node, name: str, row: int) -> Record:
-        pairs = self.pairs(node, name)
-        return Record(
+    def load_record(self, node: yaml.Node, name: str, row: int) -> InventoryRecord:
+        """Return the fields of a host or of a group's vars as a record."""
+        items = self.mapping_items(node, name)
+        return InventoryRecord(
             name,
             row,
-            {key: self.value(each) for key, (each, _) in pairs.items()},
-            {key: at for key, (_, at) in pairs.items()},
+            {key: self.load_value(child) for key, (child, _) in items.items()},
+            {key: field_row for key, (_, field_row) in items.items()},
         )
 
-    def group(self, name: str, node: yaml.Node, row: int, above: Record) -> None:
-        parts = self.pairs(node, name)
-        for key, (_, at) in parts.items():
+    def read_group(self, name: str, node: yaml.Node, row: int, inherited: InventoryRecord) -> None:
+        """Add the hosts of a group and of its children to the records, with the vars that they inherit."""
+        items = self.mapping_items(node, name)
+        for key, (_, key_row) in items.items():
             if key not in GROUP_KEYS:
-                self.fault(at, key, f"a group has {', '.join(sorted(GROUP_KEYS))} and nothing else")
-        here = above
-        if "vars" in parts:
-            here = self.joined(above, self.record(parts["vars"][0], name, parts["vars"][1]))
-        inner = {each: self.pairs(parts[each][0], each) for each in ("children", "hosts") if each in parts}
-        for key, (child, at) in inner.get("children", {}).items():
-            self.group(key, child, at, here)
-        for key, (host, at) in inner.get("hosts", {}).items():
-            own = self.record(host, key, at)
-            known = self.records.get(key, Record(key, at))
-            self.own[key] = self.joined(self.own.get(key, Record(key, at)), own)
-            self.records[key] = self.joined(self.joined(known, here), self.own[key])
+                self.add_fault(key_row, key, f"a group has {', '.join(sorted(GROUP_KEYS))} and nothing else")
+        group_vars = inherited
+        if "vars" in items:
+            group_vars = self.merge_records(
+                inherited, self.load_record(items["vars"][0], name, items["vars"][1])
+            )
+        member_items = {
+            group_key: self.mapping_items(items[group_key][0], group_key)
+            for group_key in ("children", "hosts")
+            if group_key in items
+        }
+        for key, (child, key_row) in member_items.get("children", {}).items():
+            self.read_group(key, child, key_row, group_vars)
+        for key, (host, key_row) in member_items.get("hosts", {}).items():
+            host_record = self.load_record(host, key, key_row)
+            known_record = self.records.get(key, InventoryRecord(key, key_row))
+            self.host_records[key] = self.merge_records(
+                self.host_records.get(key, InventoryRecord(key, key_row)), host_record
+            )
+            self.records[key] = self.merge_records(
+                self.merge_records(known_record, group_vars), self.host_records[key]
+            )
 
     @staticmethod
-    def joined(base: Record, over: Record) -> Record:
-        return Record(over.name, over.row, merge(base.fields, over.fields), {**base.rows, **over.rows})
+    def merge_records(base: InventoryRecord, override: InventoryRecord) -> InventoryRecord:
+        """Return the fields of both records under the name of `override`, whose values take precedence."""
+        return InventoryRecord(
+            override.name,
+            override.row,
+            deep_merge(base.fields, override.fields),
+            {**base.field_rows, **override.field_rows},
+        )
+
 
+def read_yaml(file: str, text: str, faults: list[Fault]) -> list[InventoryRecord]:
+    """Return the records of YAML groups with vars, hosts and children; each host is an application.
 
-def read_yaml(file: str, text: str, faults: list[Fault]) -> list[Record]:
-    """Groups with vars, hosts and children; each host is an application."""
+    Raises ConfigurationError where the text is not YAML or an alias refers to a node that contains it.
+    """
     try:
         node = yaml.compose(text, Loader=yaml.SafeLoader)
         yaml.safe_load(text)
-    except (yaml.YAMLError, ValueError, RecursionError) as fault:
-        mark = getattr(fault, "problem_mark", None)
+    except (yaml.YAMLError, ValueError, RecursionError) as error:
+        mark = getattr(error, "problem_mark", None)
         row = mark.line + 1 if mark is not None else 0
-        text = str(getattr(fault, "problem", None) or fault)
-        raise Unusable([Fault(file, row, "", f"not YAML: {text}")]) from None
-    groups = Groups(file, faults)
+        text = str(getattr(error, "problem", None) or error)
+        raise ConfigurationError([Fault(file, row, "", f"not YAML: {text}")]) from None
+    reader = YamlGroupReader(file, faults)
     if node is None:
         faults.append(Fault(file, 0, "", "the inventory is empty"))
         return []
     try:
-        for name, (group, row) in groups.pairs(node, "inventory").items():
-            groups.group(name, group, row, Record(name, row))
+        for name, (group, row) in reader.mapping_items(node, "inventory").items():
+            reader.read_group(name, group, row, InventoryRecord(name, row))
     except RecursionError:
-        raise Unusable([*faults, Fault(file, 0, "", "an alias stands for something that holds it")]) from None
-    return list(groups.records.values())
+        raise ConfigurationError(
+            [*faults, Fault(file, 0, "", "an alias stands for something that holds it")]
+        ) from None
+    return list(reader.records.values())
--- a/mintvalve/core/call_manager.py
+++ b/mintvalve/core/call_manager.py
@@ -36,11 +36,11 @@
 
 
 class SetUpRejected(Exception):
-    """A caller's set-up was rejected; `name` is the error code that clients see, the text the details."""
+    """A caller's set-up was rejected; `error_name` is the code that clients see, the text the details."""
 
-    def __init__(self, name: str, detail: str) -> None:
+    def __init__(self, error_name: str, detail: str) -> None:
         super().__init__(detail)
-        self.name = name
+        self.error_name = error_name
 
 
 class CallManager:
--- a/mintvalve/interface.py
+++ b/mintvalve/interface.py
@@ -257,10 +257,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: the call is refused, and the caller asked not to redial for `stay_away_ms`."""
+    """Final answer: the call is refused, and the caller asked not to redial for `retry_after_ms`."""
 
     call: int
-    stay_away_ms: float = 0.0
+    retry_after_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/mintvalve/lifecycle.py
+++ b/mintvalve/lifecycle.py
@@ -1,4 +1,4 @@
-"""The program's phases, from start to exit: the named states of one object."""
+"""The program's phases from start to exit, as a state machine driven by signals and deadlines."""
 
 from __future__ import annotations
 
@@ -14,27 +14,28 @@
 
 log = logging.getLogger("mintvalve.lifecycle")
 
-JOIN_MS = 600.0  # ms; so long the exchanges may take to tell their groups before callers are let in
-LOOK_MS = 10.0  # ms between looks at that
-GRACE_MS = 750.0  # ms after SIGTERM; callers may still come so long
-LAST_MS = 3400.0  # ms after SIGTERM; what is owed an answer gets it now
-EXIT_MS = 3550.0  # ms after SIGTERM; the kill may come from 3,700 ms on
+JOIN_TIMEOUT_MS = 600.0  # callers are admitted then even if an exchange has not reported its trunk groups
+POLL_INTERVAL_MS = 10.0
+# Counted from SIGTERM; the platform may kill the process from 3,700 ms on.
+STOP_ACCEPTING_AFTER_MS = 750.0  # callers may still connect until then
+CLOSE_AFTER_MS = 3400.0  # calls that are still unanswered are refused then
+EXIT_AFTER_MS = 3550.0
 
 
 class Phase(Enum):
-    """Where the program is."""
+    """A phase of the program; the values are logged."""
 
-    STARTING = "starting"  # reads its configuration and builds its parts
-    JOINING = "joining"  # dials the exchanges and hears of its trunk groups
-    SERVING = "serving"
-    RELOADING = "reloading"  # reads its configuration again; calls and connections stay
-    DRAINING = "draining"  # told to end: still accepts and answers
-    LINGERING = "lingering"  # accepts no connections; answers, and passes releases on
-    CLOSING = "closing"  # whatever is owed an answer gets it
-    ENDED = "ended"
+    STARTING = "starting"  # reads the configuration and builds the parts
+    JOINING = "joining"  # connects to the exchanges and waits for the reports of their trunk groups
+    SERVING = "serving"  # accepts callers and handles calls
+    RELOADING = "reloading"  # reads the configuration again; calls and connections are kept
+    DRAINING = "draining"  # after SIGTERM or SIGINT; still accepts connections and answers calls
+    LINGERING = "lingering"  # accepts no connections; still answers calls and forwards releases
+    CLOSING = "closing"  # refuses the calls that are still unanswered
+    ENDED = "ended"  # the loop has been stopped
 
 
-NEXT = {
+ALLOWED_TRANSITIONS = {
     Phase.STARTING: {Phase.JOINING},
     Phase.JOINING: {Phase.SERVING, Phase.RELOADING, Phase.DRAINING, Phase.ENDED},
     Phase.SERVING: {Phase.RELOADING, Phase.DRAINING},
@@ -47,133 +48,154 @@
 
 
 class Front(Protocol):
-    """What the lifecycle needs of a front."""
+    """The interface of a front, which accepts callers, towards the lifecycle."""
 
-    def stop_accepting(self) -> None: ...
+    def stop_accepting(self) -> None:
+        """Close the listener; open sessions stay."""
+        ...
 
-    def close_sessions(self) -> None: ...
+    def close_sessions(self) -> None:
+        """Close the sessions of callers, on a front whose sessions do not just end with the process."""
+        ...
 
-    def has_pending_releases(self) -> bool: ...
+    def has_pending_releases(self) -> bool:
+        """Return whether a release is still to be delivered to a caller that can be reached."""
+        ...
 
 
 class Lifecycle:
-    """Moves from phase to phase, and owns what begins and ends with them."""
+    """Moves the program from phase to phase, and opens and closes the fronts.
+
+    `has_joined` returns whether all exchanges have reported their trunk groups. `open_fronts` opens the
+    listeners for callers and may raise OSError; `listen_failed` is True after that. `reload_config` reads the
+    configuration again and may raise any exception.
+    """
 
     def __init__(
         self,
         loop: Loop,
-        switchboard: CallManager,
-        joined: Callable[[], bool],
+        call_manager: CallManager,
+        has_joined: Callable[[], bool],
         open_fronts: Callable[[], list[Front]],
-        read_again: Callable[[], None],
+        reload_config: Callable[[], None],
     ) -> None:
-        self.loop, self.switchboard = loop, switchboard
-        self.joined, self.open_fronts, self.read_again = joined, open_fronts, read_again
+        self.loop, self.call_manager = loop, call_manager
+        self.has_joined, self.open_fronts, self.reload_config = has_joined, open_fronts, reload_config
         self.phase = Phase.STARTING
         self.fronts: list[Front] = []
-        self.join_until = 0.0
-        self.failed = False
+        self.join_deadline_ms = 0.0
+        self.listen_failed = False
 
-    def enter(self, phase: Phase) -> None:
-        if phase not in NEXT[self.phase]:
-            raise RuntimeError(f"no way from {self.phase.value} to {phase.value}")
+    def enter_phase(self, phase: Phase) -> None:
+        """Change to a phase and log it; raises RuntimeError where ALLOWED_TRANSITIONS has no such change."""
+        if phase not in ALLOWED_TRANSITIONS[self.phase]:
+            raise RuntimeError(f"phase {phase.value} must not follow {self.phase.value}")
         self.phase = phase
-        log.info("phase", extra={"phase": phase.value, "open": self.switchboard.unanswered_calls})
+        log.info("phase", extra={"phase": phase.value, "open": self.call_manager.unanswered_calls})
 
     def run(self) -> None:
-        """From start to exit."""
-        self.catch(signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-        self.enter(Phase.JOINING)
-        self.join_until = self.loop.now() + JOIN_MS
-        self.loop.call_soon(self.join)
+        """Run the program from the start of joining until it has ended."""
+        self.install_signal_handlers(signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+        self.enter_phase(Phase.JOINING)
+        self.join_deadline_ms = self.loop.now() + JOIN_TIMEOUT_MS
+        self.loop.call_soon(self.serve_when_joined)
         self.loop.run()
 
-    def catch(self, *signals: int) -> None:
-        """Signals wake the loop through a socket and are served in its turn."""
+    def install_signal_handlers(self, *signal_numbers: int) -> None:
+        """Handle signals in the loop, which they wake through a socket pair: SIGHUP reloads, others drain."""
         reader, writer = socket.socketpair()
-        for end in (reader, writer):
-            end.setblocking(False)
-        for number in signals:
-            signal.signal(number, lambda *_: None)
+        for sock in (reader, writer):
+            sock.setblocking(False)
+        for signal_number in signal_numbers:
+            signal.signal(signal_number, lambda *_: None)
         signal.set_wakeup_fd(writer.fileno(), warn_on_full_buffer=False)
 
-        def ready(_: int, kept: socket.socket = writer) -> None:
-            came = set(reader.recv(64))  # one byte for each signal: its number
-            if signal.SIGHUP in came:
+        # The default value keeps the write end open as long as the handler is registered.
+        def on_signals(_: int, kept_writer: socket.socket = writer) -> None:
+            received = set(reader.recv(64))  # one byte, the signal's number, for each signal
+            if signal.SIGHUP in received:
                 self.reload()
-            if came - {signal.SIGHUP}:
-                self.drain()
+            if received - {signal.SIGHUP}:
+                self.enter_draining()
 
-        self.loop.watch(reader, READ, ready)
+        self.loop.watch(reader, READ, on_signals)
 
-    def join(self) -> None:
+    def serve_when_joined(self) -> None:
+        """Enter SERVING once the exchanges have reported or the time-out is over; else check again later."""
         if self.phase is not Phase.JOINING:
             return
-        if self.joined() or self.loop.now() >= self.join_until:
-            self.serve()
+        if self.has_joined() or self.loop.now() >= self.join_deadline_ms:
+            self.enter_serving()
         else:
-            self.loop.call_later(LOOK_MS, self.join)
+            self.loop.call_later(POLL_INTERVAL_MS, self.serve_when_joined)
+
+    def enter_serving(self) -> None:
+        """Open the fronts; where that fails, log the reason and end the program.
 
-    def serve(self) -> None:
+        The address is in use or not of this host then, and without a listener no caller could ever connect.
+        """
         try:
             self.fronts = self.open_fronts()
-        except OSError as fault:  # an address that is taken or not ours: nobody could ever call
-            log.error("can't listen", extra={"reason": str(fault)})
-            self.failed = True
-            self.enter(Phase.ENDED)
+        except OSError as error:
+            log.error("can't listen", extra={"reason": str(error)})
+            self.listen_failed = True
+            self.enter_phase(Phase.ENDED)
             self.loop.stop()
             return
-        self.enter(Phase.SERVING)
+        self.enter_phase(Phase.SERVING)
 
     def reload(self) -> None:
-        """Told to read the configuration again. Whatever is wrong with it, the program goes on."""
-        before = self.phase
-        if Phase.RELOADING not in NEXT[before]:
+        """Read the configuration again, while joining or serving; an invalid one is logged and ignored."""
+        previous_phase = self.phase
+        if Phase.RELOADING not in ALLOWED_TRANSITIONS[previous_phase]:
             return
-        self.enter(Phase.RELOADING)
+        self.enter_phase(Phase.RELOADING)
         try:
-            self.read_again()
-        except Exception as fault:
+            self.reload_config()
+        except Exception as error:
             log.error(
-                "the new configuration can't be used, the old one stays",
-                extra={"fault": f"{type(fault).__name__}: {fault}"},
+                "the new configuration can't be used; the one in use is kept",
+                extra={"fault": f"{type(error).__name__}: {error}"},
             )
-        self.enter(before)
+        self.enter_phase(previous_phase)
 
-    def drain(self) -> None:
-        """Told to end."""
+    def enter_draining(self) -> None:
+        """Begin the end of the program, while joining or serving, and schedule the phases that follow."""
         if self.phase is Phase.JOINING or self.phase is Phase.SERVING:
-            self.enter(Phase.DRAINING)
-            self.loop.call_later(GRACE_MS, self.linger)
-            self.loop.call_later(LAST_MS, self.close)
-            self.loop.call_later(EXIT_MS, self.end)
-
-    def linger(self) -> None:
-        self.enter(Phase.LINGERING)
+            self.enter_phase(Phase.DRAINING)
+            self.loop.call_later(STOP_ACCEPTING_AFTER_MS, self.enter_lingering)
+            self.loop.call_later(CLOSE_AFTER_MS, self.enter_closing)
+            self.loop.call_later(EXIT_AFTER_MS, self.enter_ended)
+
+    def enter_lingering(self) -> None:
+        """Stop accepting connections, and close early if nothing is left to do."""
+        self.enter_phase(Phase.LINGERING)
         for front in self.fronts:
             front.stop_accepting()
-        self.end_if_idle()
+        self.close_if_idle()
 
-    def end_if_idle(self) -> None:
-        """Nothing is owed, nothing stands, and every caller that can has heard: no need to wait."""
+    def close_if_idle(self) -> None:
+        """Close before CLOSE_AFTER_MS once no call is open or standing and no release is pending."""
         if self.phase is Phase.LINGERING:
-            if not self.switchboard.calls and not any(front.has_pending_releases() for front in self.fronts):
-                self.close()
-                self.loop.call_later(LOOK_MS, self.end)
+            if not self.call_manager.calls and not any(front.has_pending_releases() for front in self.fronts):
+                self.enter_closing()
+                self.loop.call_later(POLL_INTERVAL_MS, self.enter_ended)
             else:
-                self.loop.call_later(LOOK_MS, self.end_if_idle)
+                self.loop.call_later(POLL_INTERVAL_MS, self.close_if_idle)
 
-    def close(self) -> None:
+    def enter_closing(self) -> None:
+        """Refuse the calls that are still unanswered and close the callers' sessions."""
         if self.phase is Phase.LINGERING:
-            self.enter(Phase.CLOSING)
-            self.switchboard.refuse_open_calls()
+            self.enter_phase(Phase.CLOSING)
+            self.call_manager.refuse_open_calls()
             for front in self.fronts:
                 front.close_sessions()
 
-    def end(self) -> None:
-        if self.phase is Phase.CLOSING:
-            self.loop.run_once(0.0)  # what has come by now gets its answer, too
+    def enter_ended(self) -> None:
+        """Log the counters and stop the loop."""
         if self.phase is Phase.CLOSING:
-            log.info("counts", extra=dict(self.switchboard.counts))
-            self.enter(Phase.ENDED)
+            self.loop.run_once(0.0)  # set-ups that have arrived by now are answered as well
+        if self.phase is Phase.CLOSING:  # that iteration may have run another deadline of this method
+            log.info("counts", extra=dict(self.call_manager.counts))
+            self.enter_phase(Phase.ENDED)
             self.loop.stop()
--- a/mintvalve/net/binary_front.py
+++ b/mintvalve/net/binary_front.py
@@ -43,7 +43,7 @@
     connection: Connection
     host: str
     decoder: Decoder = field(default_factory=lambda: Decoder(CALLER_MESSAGE_TYPES))
-    unanswered_calls: dict[int, Call] = field(default_factory=dict)  # by `Call.number`
+    unanswered_calls: dict[int, Call] = field(default_factory=dict)  # by `Call.local_id`
     standing_calls: int = 0  # standing calls that were set up on it
     has_answered_call: bool = False  # a call set up on it has been answered
     acknowledges: bool = False  # it has acknowledged a release
@@ -219,7 +219,7 @@
             self.call_manager.offer_call(request, BinaryCaller(self, session))
         except SetUpRejected as error:
             session.rejected_set_ups += 1
-            log.debug("set-up rejected", extra={"error": error.name, "detail": str(error)})
+            log.debug("set-up rejected", extra={"error": error.error_name, "detail": str(error)})
             session.send(encode_release(message.call_id, ReleaseCause.SIGNALLING_FAULT))
             if session.rejected_set_ups >= MAX_REJECTED_SET_UPS and not session.unanswered_calls:
                 raise ProtocolError(f"{session.rejected_set_ups} rejected set-ups in a row") from error
--- a/mintvalve/net/release_scheduler.py
+++ b/mintvalve/net/release_scheduler.py
@@ -12,27 +12,27 @@
 )
 from mintvalve.net.loop import Loop
 
-W = TypeVar("W", bound=ReleaseConnection)
+ConnectionT = TypeVar("ConnectionT", bound=ReleaseConnection)
 
 
-class ReleaseScheduler(Generic[W]):
+class ReleaseScheduler(Generic[ConnectionT]):
     """Pending releases towards all callers of a front, or towards one exchange.
 
-    Forwards events to a `ReleaseDelivery` with the current time, and runs its time-outs every LOOK_MS while
-    releases are pending. The parameters `writer`, `max_age_ms`, `max_pending` and `allow_other_hosts` are
-    those of `ReleaseDelivery`.
+    Forwards events to a `ReleaseDelivery` with the current time, and runs its time-outs every
+    CHECK_INTERVAL_MS while releases are pending. The parameters `writer`, `max_age_ms`, `max_pending` and
+    `allow_other_hosts` are those of `ReleaseDelivery`.
     """
 
     def __init__(
         self,
         loop: Loop,
-        writer: ReleaseWriter[W],
+        writer: ReleaseWriter[ConnectionT],
         max_age_ms: float,
         max_pending: int,
         allow_other_hosts: bool = True,
     ) -> None:
         self.loop = loop
-        self.delivery: ReleaseDelivery[W] = ReleaseDelivery(
+        self.delivery: ReleaseDelivery[ConnectionT] = ReleaseDelivery(
             writer, max_age_ms, max_pending, allow_other_hosts
         )
         self.is_scheduled = False
@@ -44,7 +44,9 @@
     def __contains__(self, call: int) -> bool:
         return call in self.delivery
 
-    def enqueue_release(self, call: int, cause: int, owner_connection: W | None, owner_host: str) -> None:
+    def enqueue_release(
+        self, call: int, cause: int, owner_connection: ConnectionT | None, owner_host: str
+    ) -> None:
         """Send the release of a call with a cause, and repeat it until it counts as delivered or expires.
 
         It goes to `owner_connection`, the connection of the call's set-up, or to another one, preferably of
@@ -53,15 +55,15 @@
         self.delivery.enqueue_release(call, cause, owner_connection, owner_host, self.loop.now())
         self.schedule_timeouts()
 
-    def on_connection_opened(self, connection: W) -> None:
+    def on_connection_opened(self, connection: ConnectionT) -> None:
         """A connection has been established: send the releases that wait for its host."""
         self.delivery.on_connection_opened(connection, self.loop.now())
 
-    def on_connection_trusted(self, connection: W) -> None:
+    def on_connection_trusted(self, connection: ConnectionT) -> None:
         """A connection has become trusted: send the releases that no better connection can carry."""
         self.delivery.on_connection_trusted(connection, self.loop.now())
 
-    def on_connection_closed(self, connection: W) -> None:
+    def on_connection_closed(self, connection: ConnectionT) -> None:
         """A connection has been closed: send the unconfirmed releases written to it on other connections."""
         self.delivery.on_connection_closed(connection, self.loop.now())
 
@@ -69,7 +71,7 @@
         """The peer acknowledged a call's release; False where none was sent."""
         return self.delivery.on_acknowledged(call)
 
-    def redirect(self, call: int, connection: W) -> bool:
+    def redirect(self, call: int, connection: ConnectionT) -> bool:
         """Send a call's pending release on the connection on which its owner has returned; False for none."""
         return self.delivery.redirect(call, connection, self.loop.now())
 
@@ -86,7 +88,7 @@
         self.is_stopped = True
 
     def schedule_timeouts(self) -> None:
-        """Run the time-outs after LOOK_MS, unless that is scheduled already."""
+        """Run the time-outs after CHECK_INTERVAL_MS, unless that is scheduled already."""
         if not self.is_scheduled and not self.is_stopped:
             self.is_scheduled = True
             self.loop.call_later(CHECK_INTERVAL_MS, self.process_timeouts)
--- a/mintvalve/net/websocket_front.py
+++ b/mintvalve/net/websocket_front.py
@@ -89,11 +89,11 @@
 
 
 class MessageRejected(Exception):
-    """A message that is answered with an error; `name` and the text become its `error` and `detail`."""
+    """A message that is answered with an error; `error_name` and the text become its `error` and `detail`."""
 
-    def __init__(self, name: str, detail: str) -> None:
+    def __init__(self, error_name: str, detail: str) -> None:
         super().__init__(detail)
-        self.name = name
+        self.error_name = error_name
 
 
 def integer_field(
@@ -161,7 +161,7 @@
     connection: Connection
     websocket: WSConnection = field(default_factory=lambda: WSConnection(ConnectionType.SERVER))
     handshake_accepted: bool = False
-    unanswered_calls: dict[int, Call] = field(default_factory=dict)  # by `Call.number`
+    unanswered_calls: dict[int, Call] = field(default_factory=dict)  # by `Call.local_id`
     message_parts: list[str] = field(default_factory=list)  # of the message being received
     message_length: int = 0  # characters or bytes received of it
     message_is_text: bool = True  # false once a binary frame of it has come
@@ -429,7 +429,7 @@
             id_field = (
                 {"id": call_id} if isinstance(call_id, str) and CALL_ID_PATTERN.fullmatch(call_id) else {}
             )
-            self.send_message(session, "error", None, error=error.name, detail=str(error), **id_field)
+            self.send_message(session, "error", None, error=error.error_name, detail=str(error), **id_field)
 
     @staticmethod
     def parse_message(text: str) -> dict[str, Any]:
--- a/mintvalve/simulator_adapter.py
+++ b/mintvalve/simulator_adapter.py
@@ -64,7 +64,7 @@
         case interface.SetUp():
             return f"ISSUE {instance_name} {action.call} {action.address} {action.timeout_ms:.3f}"
         case interface.Refuse():
-            return f"DECLINE {instance_name} {action.call} {action.stay_away_ms:.3f}"
+            return f"DECLINE {instance_name} {action.call} {action.retry_after_ms:.3f}"
         case interface.Fail():
             return f"FINISH_ERROR {instance_name} {action.call}"
         case interface.Cancel():
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -1,20 +1,31 @@
-"""The prefix index against an oracle that scans the rules plainly."""
+"""Tests of the prefix index and its alternatives against a linear scan of all prefixes."""
 
 from __future__ import annotations
 
 import pytest
 from hypothesis import given, settings, strategies as st
 
-from mintvalve.analysis import index as made
-from mintvalve.analysis.index import LONGEST, Builder, Duplicate, Matcher, Plain, Trie, key_of, prefix_of
-
-DIGITS = st.text("0123456789abcdef", max_size=LONGEST)
-FEW = st.text("01", max_size=6)  # so that many begin with each other
-TABLES = st.dictionaries(st.one_of(FEW, DIGITS), st.integers(0, 1000), max_size=60)
-
-
-def scanned(table: dict[str, int], number: str) -> tuple[int, int] | None:
-    """The oracle: every rule is looked at."""
+from mintvalve.analysis import index as index_module
+from mintvalve.analysis.index import (
+    MAX_PREFIX_DIGITS,
+    DuplicatePrefixError,
+    LengthTableMatcher,
+    PrefixIndexBuilder,
+    PrefixMatcher,
+    TrieMatcher,
+    decode_prefix,
+    encode_key,
+)
+
+HEX_DIGITS = st.text("0123456789abcdef", max_size=MAX_PREFIX_DIGITS)
+BINARY_DIGITS = st.text(
+    "01", max_size=6
+)  # short and of two digits, so that many prefixes begin with one another
+TABLES = st.dictionaries(st.one_of(BINARY_DIGITS, HEX_DIGITS), st.integers(0, 1000), max_size=60)
+
+
+def linear_scan(table: dict[str, int], number: str) -> tuple[int, int] | None:
+    """Find the longest prefix by trying every prefix of the table."""
     best: tuple[int, int] | None = None
     for prefix, value in table.items():
         if number.startswith(prefix) and (best is None or len(prefix) > best[0]):
@@ -22,55 +33,59 @@
     return best
 
 
-def built(table: dict[str, int]) -> made.Index:
-    builder = Builder()
+def build_index(table: dict[str, int]) -> index_module.PrefixIndex:
+    builder = PrefixIndexBuilder()
     for prefix, value in table.items():
         builder.add(prefix, value)
     return builder.build()
 
 
-@given(TABLES, st.lists(st.one_of(FEW, DIGITS, st.text("0123456789abcdef", max_size=20)), max_size=30))
+@given(
+    TABLES,
+    st.lists(st.one_of(BINARY_DIGITS, HEX_DIGITS, st.text("0123456789abcdef", max_size=20)), max_size=30),
+)
 @settings(derandomize=True, deadline=None, max_examples=300)
-def test_every_way_finds_what_a_plain_scan_finds(table: dict[str, int], numbers: list[str]) -> None:
-    index = built(table)
-    ways: list[Matcher] = [index, Plain(table.items()), Trie(table.items())]
+def test_all_matchers_agree_with_a_linear_scan(table: dict[str, int], numbers: list[str]) -> None:
+    index = build_index(table)
+    matchers: list[PrefixMatcher] = [index, LengthTableMatcher(table.items()), TrieMatcher(table.items())]
     for number in [*numbers, *table, *(prefix + "0" for prefix in table), *(prefix[:-1] for prefix in table)]:
-        for way in ways:
-            assert way.match(number) == scanned(table, number), (way, number)
+        for matcher in matchers:
+            assert matcher.match(number) == linear_scan(table, number), (matcher, number)
         longer = any(prefix != number and prefix.startswith(number) for prefix in table)
-        assert index.begins(number) == longer, number
+        assert index.has_longer_prefix(number) == longer, number
     assert dict(iter(index)) == table and len(index) == len(table)
 
 
-@given(DIGITS)
+@given(HEX_DIGITS)
 @settings(derandomize=True, deadline=None)
-def test_a_key_is_its_prefix_and_keeps_the_order(prefix: str) -> None:
-    assert prefix_of(key_of(prefix)) == prefix
-    if len(prefix) < LONGEST:
-        assert key_of(prefix) < key_of(prefix + "0") < key_of(prefix + "f") < 1 << 64
+def test_keys_round_trip_and_keep_prefix_order(prefix: str) -> None:
+    assert decode_prefix(encode_key(prefix)) == prefix
+    if len(prefix) < MAX_PREFIX_DIGITS:
+        assert encode_key(prefix) < encode_key(prefix + "0") < encode_key(prefix + "f") < 1 << 64
 
 
-def test_a_prefix_too_long_or_of_other_signs_or_there_already_is_refused() -> None:
-    builder = Builder()
+def test_builder_refuses_invalid_and_duplicate_prefixes() -> None:
+    builder = PrefixIndexBuilder()
     builder.add("12", 7)
-    with pytest.raises(Duplicate) as twice:
+    with pytest.raises(DuplicatePrefixError) as duplicate:
         builder.add("12", 8)
-    assert (twice.value.prefix, twice.value.value) == ("12", 7)
-    for wrong in ("0" * 16, "12x", "1 2"):
+    assert (duplicate.value.prefix, duplicate.value.value) == ("12", 7)
+    for invalid in ("0" * 16, "12x", "1 2"):
         with pytest.raises(ValueError):
-            builder.add(wrong, 1)
-    assert builder.size == 1
+            builder.add(invalid, 1)
+    assert builder.prefix_count == 1
 
 
-def test_a_build_pauses_after_bounded_work_whatever_the_prefixes(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against holding the loop: all prefixes begin alike, so that nothing splits by the first digits.
-    monkeypatch.setattr(made, "SLICE", 16)
-    monkeypatch.setattr(made, "SPLIT", 32)
-    builder = Builder()
+def test_build_pauses_after_bounded_work_with_a_common_prefix(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Guards against blocking the event loop: all prefixes share their first digits, so the buckets by first
+    # digits do not divide the work.
+    monkeypatch.setattr(index_module, "PREFIXES_PER_STEP", 16)
+    monkeypatch.setattr(index_module, "MAX_PREFIXES_PER_SORT", 32)
+    builder = PrefixIndexBuilder()
     table = {f"44{number:05d}": number for number in range(0, 40_000, 37)}
     for prefix, value in table.items():
         builder.add(prefix, value)
-    steps, pauses = builder.steps(), 0
+    steps, pauses = builder.build_steps(), 0
     while True:
         try:
             next(steps)
@@ -78,5 +93,5 @@
             assert dict(iter(done.value)) == table
             break
         pauses += 1
-    assert pauses > 2 * len(table) // 16  # for the splitting and for the writing
-    assert not builder.size and not builder.buckets
+    assert pauses > 2 * len(table) // 16  # while splitting the bucket and while writing the arrays
+    assert not builder.prefix_count and not builder.buckets
--- a/tests/test_retry_after.py
+++ b/tests/test_retry_after.py
@@ -14,7 +14,7 @@
     harness.offer_call(time_left_ms=60.0)
     harness.advance(55.0)
     (refuse,) = [action for action in harness.end_attempt(Outcome.TIMED_OUT) if isinstance(action, Refuse)]
-    return refuse.stay_away_ms
+    return refuse.retry_after_ms
 
 
 def test_without_gap_or_full_group_the_wait_is_the_minimum() -> None:
@@ -33,6 +33,6 @@
     for cell in (1, 2, 3):
         harness.report_group(cell, 0)
     offer = CallOffered(5, "plain", "n", harness.now + 30.0, 1)
-    assert [action.stay_away_ms for action in harness.handle(offer) if isinstance(action, Refuse)] == [
+    assert [action.retry_after_ms for action in harness.handle(offer) if isinstance(action, Refuse)] == [
         10_000 / 20
     ]
