--- a/mintvalve/net/deadlines.py
+++ b/mintvalve/net/deadlines.py
@@ -11,14 +11,14 @@
 class Deadline:
     """An action that runs at a given time unless cancelled."""
 
-    __slots__ = ("action", "key", "owner")
+    __slots__ = ("action", "deadlines", "key")
 
-    def __init__(self, owner: Deadlines, key: tuple[float, int], action: Callable[[], None]) -> None:
-        self.owner, self.key, self.action = owner, key, action
+    def __init__(self, deadlines: Deadlines, key: tuple[float, int], action: Callable[[], None]) -> None:
+        self.deadlines, self.key, self.action = deadlines, key, action
 
     def cancel(self) -> None:
         """Prevent the action from running; no effect once it has run."""
-        self.owner.entries.pop(self.key, None)
+        self.deadlines.entries.pop(self.key, None)
 
 
 class Deadlines:
