--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -58,9 +58,8 @@
         self.last_call, self.replacement_count = 0, 0
         self.end_batches: dict[int, int] = {}  # by answered call: the batch after which it ends
         self.answering_exchanges: dict[int, FakeExchange] = {}  # by call
-        self.unreported_ends: set[int] = (
-            set()
-        )  # calls ended by their exchange whose release no caller has got
+        # Calls ended by their exchange whose release no caller has got.
+        self.unreported_ends: set[int] = set()
         self.counts: Counter[str] = Counter()
         self.largest_sizes: Counter[str] = Counter()
         self.update_exchange_list()
--- a/mintvalve/analysis/index.py
+++ b/mintvalve/analysis/index.py
@@ -158,9 +158,8 @@
         Yields after a bounded amount of work, so that an event loop can run other tasks in between.
         """
         keys, values, parents = array("Q"), array("I"), array("I")
-        ancestors: list[
-            int
-        ] = []  # positions of the latest prefix and of all with which it begins, shortest first
+        # Positions of the latest prefix and of all with which it begins, shortest first.
+        ancestors: list[int] = []
         written = 0
         for leading_digits in sorted(self.buckets):
             for piece in split_bucket(self.buckets.pop(leading_digits), 56):
--- a/mintvalve/controller.py
+++ b/mintvalve/controller.py
@@ -199,9 +199,8 @@
         self.delay_ms, self.delay_at = 0.0, -math.inf
         # Set-ups sent and 'processor full' refusals of this cycle; time-outs since the last response.
         self.set_ups_sent = self.full_refusals = self.consecutive_timeouts = 0
-        self.set_ups_per_s = self.full_refusal_share = (
-            0.0  # smoothed over cycles; the rate only without a gap
-        )
+        # Smoothed over cycles; the rate only without a gap.
+        self.set_ups_per_s = self.full_refusal_share = 0.0
         # Call to the time its set-up was sent, oldest first; cancelled ones may still be answered.
         self.outstanding_set_ups: dict[int, float] = {}
         self.cancelled_set_ups: dict[int, float] = {}
@@ -912,7 +911,7 @@
         """Trunk reservation: circuits of a group that a call has to leave free for direct calls.
 
         It grows with the square root of the group's size, and is smaller for a class of more worth for each
-        circuit and time held. Without a class, that of the least worth is meant.
+        circuit and time held. Without a class, that of the least worth counts.
         """
         density_ratio = self.worth_density(call_class) / self.min_worth_density if call_class else 1.0
         return round(TRUNK_RESERVATION_FACTOR * math.sqrt(max(exchange.circuits, 1)) / density_ratio) + 1
--- a/mintvalve/core/call_manager.py
+++ b/mintvalve/core/call_manager.py
@@ -60,9 +60,8 @@
         self.exchanges: dict[str, Exchange] = {}  # by address
         self.last_local_id = 0
         self.unanswered_calls = 0  # accepted calls without a final answer
-        self.on_all_calls_answered: Callable[[], None] | None = (
-            None  # called when `unanswered_calls` gets to 0
-        )
+        # Called when `unanswered_calls` gets to 0.
+        self.on_all_calls_answered: Callable[[], None] | None = None
         self.pending_commands: deque[Command] = deque()
         self.is_executing = False
         self.shutting_down = False  # new calls are refused at once
--- a/mintvalve/core/rules.py
+++ b/mintvalve/core/rules.py
@@ -8,9 +8,8 @@
 from mintvalve.interface import Exchange, Outcome, Settings, ExchangeState
 
 TIME_LIMIT_SLACK_MS = 50.0  # added to the configured time limits when the controller runs on sockets
-ANSWER_MARGIN_MS = (
-    15.0  # final answers are sent this long before the caller gives up: they take time to arrive
-)
+# Final answers are sent this long before the caller gives up, since they take time to arrive.
+ANSWER_MARGIN_MS = 15.0
 MAX_WIDTH_CIRCUITS = 64
 MAX_WAIT_MS = 600_000.0
 # After these outcomes the exchange may still hold circuits for the attempt.
